--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -3,12 +3,12 @@
 
 pub mod clock;
 pub mod coordinator;
-pub mod datagram;
+pub mod entry_state;
 pub mod groups;
 pub mod loads;
+pub mod messages;
+pub mod peer_socket;
 pub mod peers;
-pub mod post;
-pub mod question;
 pub mod suspects;
 pub mod tail;
 pub mod usage;
--- a/crates/direct/src/cluster/coordinator.rs
+++ b/crates/direct/src/cluster/coordinator.rs
@@ -46,7 +46,7 @@
 
 impl Coordinator {
     /// Tokens that wait to be read at an engine as far as this entry granted them.
-    pub fn waiting(&self, engine: Hash, now: Instant) -> u64 {
+    pub fn queued_tokens(&self, engine: Hash, now: Instant) -> u64 {
         let time = self.time(now);
         let mut inner = self.lock();
         inner.engines.get_mut(&engine).map_or(0, |bookings| bookings.waiting(time))
--- a/crates/direct/src/cluster/datagram.rs
+++ b/crates/direct/src/cluster/entry_state.rs
@@ -8,7 +8,7 @@
 
 /// An entry's state.
 #[derive(Clone, PartialEq, Message)]
-pub struct State {
+pub struct EntryState {
     /// The hash of its name.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
@@ -57,7 +57,7 @@
     pub service: u32,
     /// Tokens to be read: of prompts, what no engine kept.
     #[prost(uint64, tag = "2")]
-    pub asked: u64,
+    pub requested_tokens: u64,
     /// Tokens that an engine reads in a second; 0 if it is not known.
     #[prost(double, tag = "3")]
     pub rate: f64,
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Others {
     /// Tokens to be read.
-    pub reading: u64,
+    pub prefill_tokens: u64,
     /// Streams.
     pub streams: u32,
 }
@@ -108,14 +108,14 @@
     pub fn rows(self) -> Vec<(u32, Others)> {
         let columns = self.engines.into_iter().zip(self.reading).zip(self.streams);
         let rows = columns.map(|((engine, reading), streams)| {
-            (engine, Others { reading: u64::from(reading) * UNIT, streams })
+            (engine, Others { prefill_tokens: u64::from(reading) * UNIT, streams })
         });
         rows.collect()
     }
 }
 
 /// The name of an engine in datagrams: of 700 engines two share one with a chance of 0.006%.
-pub fn short(engine: Hash) -> u32 {
+pub fn short_hash(engine: Hash) -> u32 {
     // Casting to a smaller integer keeps the lower half.
     #[expect(clippy::cast_possible_truncation, reason = "half of a hash is a hash")]
     let short = engine as u32;
--- a/crates/direct/src/cluster/groups.rs
+++ b/crates/direct/src/cluster/groups.rs
@@ -35,7 +35,7 @@
 
 /// The groups of all services, computed when engines or entries change.
 #[derive(Debug, Default)]
-pub struct Map(Mutex<HashMap<ServiceName, Known>>);
+pub struct Cache(Mutex<HashMap<ServiceName, Known>>);
 
 #[derive(Debug, Clone)]
 struct Known {
@@ -44,7 +44,7 @@
     groups: Groups,
 }
 
-impl Map {
+impl Cache {
     /// The groups of a service with these engines, coordinated by these entries.
     pub fn groups(
         &self,
@@ -67,7 +67,7 @@
 }
 
 /// The group of a target.
-pub fn of<'a>(groups: &'a [Group], target: &Target) -> Option<&'a Group> {
+pub fn group_of<'a>(groups: &'a [Group], target: &Target) -> Option<&'a Group> {
     groups.iter().find(|group| group.engines.iter().any(|other| other.key == target.key))
 }
 
--- a/crates/direct/src/cluster/loads.rs
+++ b/crates/direct/src/cluster/loads.rs
@@ -1,7 +1,7 @@
 //! What callers ask of the engines of each service, and what engines do: counted and learnt here,
 //! and told among the entries, so that each of them can plan for all.
 
-use crate::cluster::datagram::{self, ServiceLoad};
+use crate::cluster::entry_state::{self, ServiceLoad};
 use policy::demand::{Pace, Step};
 use policy::prompts::Rate;
 use std::collections::HashMap;
@@ -27,30 +27,30 @@
 
 impl Loads {
     /// Counts tokens that a caller asks to be read, at its first try.
-    pub fn ask(&self, service: &str, tokens: u64) {
+    pub fn record_request(&self, service: &str, tokens: u64) {
         self.lock().entry(key(service)).or_default().own += tokens;
     }
 
     /// Takes in how long an engine took to read a prompt and what waited before it; engines are
     /// believed to read `assumed` tokens a second at first.
-    pub fn read(&self, service: &str, assumed: f64, tokens: u64, took: Duration) {
+    pub fn record_prefill(&self, service: &str, assumed: f64, tokens: u64, took: Duration) {
         let mut loads = self.lock();
         let load = loads.entry(key(service)).or_default();
         load.rate.get_or_insert_with(|| Rate::new(assumed)).sample(tokens, took);
     }
 
     /// Takes in that `tokens` tokens of a stream took this long.
-    pub fn wrote(&self, service: &str, tokens: u32, took: Duration) {
+    pub fn record_decode(&self, service: &str, tokens: u32, took: Duration) {
         self.lock().entry(key(service)).or_default().step.sample(tokens, took);
     }
 
     /// Tokens that an engine reads in a second, once anything is known.
-    pub fn rate(&self, service: &str) -> Option<f64> {
+    pub fn prefill_rate(&self, service: &str) -> Option<f64> {
         self.lock().get(&key(service)).and_then(|load| load.rate).map(Rate::get)
     }
 
     /// What one engine does that writes `places` streams at once, once it is known.
-    pub fn pace(&self, service: &str, places: u32) -> Option<Pace> {
+    pub fn engine_profile(&self, service: &str, places: u32) -> Option<Pace> {
         let loads = self.lock();
         let load = loads.get(&key(service))?;
         let reading = load.rate.filter(|rate| rate.is_known())?.get();
@@ -59,18 +59,18 @@
     }
 
     /// Tokens to be read that were asked of all entries so far.
-    pub fn asked(&self, service: &str) -> u64 {
+    pub fn requested_tokens(&self, service: &str) -> u64 {
         self.lock().get(&key(service)).map_or(0, |load| load.own + load.others)
     }
 
     /// What the other entries should hear.
-    pub fn tell(&self) -> Vec<ServiceLoad> {
+    pub fn snapshot(&self) -> Vec<ServiceLoad> {
         let loads = self.lock();
         let rows = loads.iter().map(|(service, load)| {
             let known = load.rate.filter(|rate| rate.is_known());
             ServiceLoad {
                 service: *service,
-                asked: load.own,
+                requested_tokens: load.own,
                 rate: known.map_or(0.0, Rate::get),
                 step: load.step.get().unwrap_or_default(),
             }
@@ -79,11 +79,11 @@
     }
 
     /// Takes in what another entry tells; `before` is what the same run of it told last.
-    pub fn hear(&self, before: Option<&ServiceLoad>, told: &ServiceLoad) {
+    pub fn observe(&self, before: Option<&ServiceLoad>, told: &ServiceLoad) {
         let mut loads = self.lock();
         let load = loads.entry(told.service).or_default();
         if let Some(before) = before {
-            load.others += told.asked.saturating_sub(before.asked);
+            load.others += told.requested_tokens.saturating_sub(before.requested_tokens);
         }
         if told.step > 0.0 {
             load.told = Some(told.step);
@@ -100,5 +100,5 @@
 }
 
 fn key(service: &str) -> u32 {
-    datagram::short(policy::hash(service))
+    entry_state::short_hash(policy::hash(service))
 }
--- a/crates/direct/src/cluster/question.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -1,7 +1,7 @@
 //! The datagrams by which an entry asks another to have a prompt read, see [`crate::request::reserve`] and
 //! [`crate::cluster::coordinator`], and by which it passes on what it has read in the log.
 //!
-//! They share a socket with [`crate::cluster::datagram::State`], whose fields have lower tags: each reader
+//! They share a socket with [`crate::cluster::entry_state::EntryState`], whose fields have lower tags: each reader
 //! leaves the other's fields alone. Engines and services are named by the lower half of their hashes;
 //! 0 names none.
 
@@ -12,21 +12,21 @@
 
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
-pub struct Exchange {
+pub struct Envelope {
     /// What it says.
-    #[prost(oneof = "Word", tags = "16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
-    pub word: Option<Word>,
+    #[prost(oneof = "Payload", tags = "16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
+    pub payload: Option<Payload>,
 }
 
 /// What an entry says about a prompt, or about the log.
 #[derive(Clone, PartialEq, prost::Oneof)]
-pub enum Word {
+pub enum Payload {
     /// It asks for an engine that reads one.
     #[prost(message, tag = "16")]
-    Ask(Ask),
+    PrefillRequest(PrefillRequest),
     /// It answers that.
     #[prost(message, tag = "17")]
-    Answer(Answer),
+    Response(Response),
     /// It tells what became of one.
     #[prost(message, tag = "18")]
     Report(Report),
@@ -35,22 +35,22 @@
     News(News),
     /// It asks for an engine that writes an output.
     #[prost(message, tag = "20")]
-    Place(AskPlace),
+    DecodeRequest(DecodeRequest),
     /// It can't read the log and asks for the configuration, see [`crate::exchange::broadcast`].
     #[prost(message, tag = "21")]
     Lack(Lack),
     /// It tells how far it has counted what customers used, see [`crate::cluster::usage`].
     #[prost(message, tag = "22")]
-    Used(Used),
+    UsageCounts(UsageCounts),
     /// It has written a bill to the log, see [`crate::duty::billing`].
     #[prost(message, tag = "23")]
-    Billed(Billed),
+    BillingProgress(BillingProgress),
     /// It asks for a permit to send to a target that named a limit, see [`crate::request::permits`].
     #[prost(message, tag = "24")]
-    Permit(AskPermit),
+    PermitRequest(PermitRequest),
     /// It tells which limit a target names.
     #[prost(message, tag = "25")]
-    Limit(TargetLimit),
+    TargetLimit(TargetLimit),
 }
 
 /// A question for the configuration.
@@ -63,10 +63,10 @@
 
 /// How far one life of an entry has counted in one window.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Used {
+pub struct UsageCounts {
     /// The life.
     #[prost(fixed64, tag = "1")]
-    pub life: u64,
+    pub incarnation: u64,
     /// The window.
     #[prost(uint64, tag = "2")]
     pub window: u64,
@@ -80,21 +80,21 @@
 
 /// A record with bills that was written.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Billed {
+pub struct BillingProgress {
     /// The end of the stream after it.
     #[prost(uint64, tag = "1")]
-    pub end: u64,
+    pub stream_end: u64,
     /// The window after the last of it.
     #[prost(uint64, tag = "2")]
-    pub next: u64,
+    pub next_window: u64,
 }
 
 /// A question for an engine of one group that reads a prompt.
 #[derive(Clone, PartialEq, Message)]
-pub struct Ask {
+pub struct PrefillRequest {
     /// The name that its booking will have.
     #[prost(fixed64, tag = "1")]
-    pub booking: BookingId,
+    pub reservation: BookingId,
     /// The group.
     #[prost(fixed64, tag = "2")]
     pub group: u64,
@@ -103,7 +103,7 @@
     pub service: u32,
     /// The hash of the prompt's longest shared start.
     #[prost(fixed64, tag = "4")]
-    pub start: u64,
+    pub prefix_hash: u64,
     /// All tokens of the prompt.
     #[prost(uint32, tag = "5")]
     pub tokens: u32,
@@ -121,21 +121,21 @@
     pub avoid: Vec<u32>,
     /// Whether an engine that writes will do.
     #[prost(bool, tag = "10")]
-    pub writers: bool,
+    pub decode_engines: bool,
     /// An engine of another group that keeps some of its start.
     #[prost(message, optional, tag = "11")]
-    pub holder: Option<Holder>,
+    pub cached_prefix: Option<CachedPrefix>,
     /// Who asks.
     #[prost(message, optional, tag = "12")]
-    pub asker: Option<Asker>,
+    pub requester: Option<Requester>,
 }
 
 /// A question for an engine of one group that writes an output.
 #[derive(Clone, PartialEq, Message)]
-pub struct AskPlace {
+pub struct DecodeRequest {
     /// The name that its booking will have.
     #[prost(fixed64, tag = "1")]
-    pub booking: BookingId,
+    pub reservation: BookingId,
     /// The group.
     #[prost(fixed64, tag = "2")]
     pub group: u64,
@@ -150,21 +150,21 @@
     pub avoid: Vec<u32>,
     /// After how long the stream has surely ended, in milliseconds.
     #[prost(uint32, tag = "6")]
-    pub lapse_ms: u32,
+    pub ttl_ms: u32,
     /// The share of an engine's places up to which it may be filled, in hundredths.
     #[prost(uint32, tag = "7")]
-    pub filled: u32,
+    pub max_fill_percent: u32,
     /// Who asks.
     #[prost(message, optional, tag = "8")]
-    pub asker: Option<Asker>,
+    pub requester: Option<Requester>,
 }
 
 /// A question for a permit to send one request to a target.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct AskPermit {
+pub struct PermitRequest {
     /// The name of the question.
     #[prost(fixed64, tag = "1")]
-    pub booking: BookingId,
+    pub reservation: BookingId,
     /// The service.
     #[prost(fixed32, tag = "2")]
     pub service: u32,
@@ -173,7 +173,7 @@
     pub target: u32,
     /// Who asks.
     #[prost(message, optional, tag = "4")]
-    pub asker: Option<Asker>,
+    pub requester: Option<Requester>,
     /// The limit as the entry knows it.
     #[prost(message, optional, tag = "5")]
     pub limit: Option<TargetLimit>,
@@ -181,19 +181,19 @@
 
 /// Which entry asks, and for how urgent a request.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Asker {
+pub struct Requester {
     /// The hash of the entry's name.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
     /// How urgent the request is: 0 goes first.
     #[prost(uint32, tag = "2")]
-    pub rank: u32,
+    pub priority: u32,
 }
 
-impl Asker {
+impl Requester {
     /// Who asks for a permit; ranks beyond the least urgent are that.
     pub fn ask(&self) -> pacing::Ask {
-        let rank = pacing::Rank::try_from(self.rank).unwrap_or(pacing::Rank::MAX);
+        let rank = pacing::Rank::try_from(self.priority).unwrap_or(pacing::Rank::MAX);
         pacing::Ask { entry: self.entry, rank }
     }
 }
@@ -212,10 +212,10 @@
     pub rate: Option<f64>,
     /// How long ago the request was sent that the target answered so, in milliseconds.
     #[prost(uint32, tag = "4")]
-    pub sent_ms: u32,
+    pub request_age_ms: u32,
     /// How long ago its answer came, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub heard_ms: u32,
+    pub response_age_ms: u32,
 }
 
 /// Parts of a prompt in its order, in columns of equal length.
@@ -231,7 +231,7 @@
 
 /// An engine that keeps some of a prompt's start.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Holder {
+pub struct CachedPrefix {
     /// The engine.
     #[prost(fixed32, tag = "1")]
     pub engine: u32,
@@ -242,24 +242,24 @@
 
 /// The answer to a question.
 #[derive(Clone, PartialEq, Message)]
-pub struct Answer {
+pub struct Response {
     /// The booking that the question named.
     #[prost(fixed64, tag = "1")]
-    pub booking: BookingId,
+    pub reservation: BookingId,
     /// Whether there is room.
-    #[prost(oneof = "Room", tags = "2, 3, 4")]
-    pub room: Option<Room>,
+    #[prost(oneof = "Decision", tags = "2, 3, 4")]
+    pub decision: Option<Decision>,
 }
 
 /// Whether a group has room for a prompt.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Oneof)]
-pub enum Room {
+pub enum Decision {
     /// It was booked.
     #[prost(message, tag = "2")]
     Granted(Granted),
     /// It can't be read in time, or there is no permit.
     #[prost(message, tag = "3")]
-    Full(Full),
+    Refused(Refused),
     /// A permit was given.
     #[prost(message, tag = "4")]
     Permitted(Permitted),
@@ -291,16 +291,16 @@
 
 /// What a group says that has no room.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Full {
+pub struct Refused {
     /// When there will be some, in microseconds.
     #[prost(uint64, tag = "1")]
-    pub after_us: u64,
+    pub retry_after_us: u64,
     /// Which of its engines keeps most of the prompt's start.
     #[prost(message, optional, tag = "2")]
-    pub holder: Option<Holder>,
+    pub cached_prefix: Option<CachedPrefix>,
     /// Whether one of its engines that write would read it.
     #[prost(bool, tag = "3")]
-    pub writer: bool,
+    pub decode_engine: bool,
 }
 
 /// What became of a prompt, for the coordinator of the engine's group.
@@ -308,30 +308,30 @@
 pub struct Report {
     /// The booking that ends; 0 if there was none.
     #[prost(fixed64, tag = "1")]
-    pub booking: BookingId,
+    pub reservation: BookingId,
     /// The engine.
     #[prost(fixed32, tag = "2")]
     pub engine: u32,
     /// Parts that the engine now keeps.
     #[prost(message, optional, tag = "3")]
-    pub kept: Option<Parts>,
+    pub cached: Option<Parts>,
     /// Whether the engine could not be reached or broke off.
     #[prost(bool, tag = "4")]
     pub failed: bool,
     /// How KV cache came to it from another engine.
     #[prost(message, optional, tag = "5")]
-    pub moved: Option<Moved>,
+    pub transfer: Option<Transfer>,
 }
 
 /// A transfer of KV cache.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Moved {
+pub struct Transfer {
     /// The engine that it came from.
     #[prost(fixed32, tag = "1")]
-    pub from: u32,
+    pub source: u32,
     /// How long it was on its way, with the first step of the output, in microseconds.
     #[prost(uint64, tag = "2")]
-    pub took_us: u64,
+    pub duration_us: u64,
 }
 
 /// Records of a stream of the log that changed something, all that did within a span of it.
--- a/crates/direct/src/cluster/post.rs
+++ b/crates/direct/src/cluster/peer_socket.rs
@@ -1,6 +1,6 @@
 //! The socket on which entries hear each other, and the questions that wait for an answer on it.
 
-use crate::cluster::question::{Answer, Exchange, Word};
+use crate::cluster::messages::{Envelope, Payload, Response};
 use policy::Hash;
 use policy::bookings::BookingId;
 use prost::Message;
@@ -15,9 +15,9 @@
 
 /// The socket, once it is bound, and who waits for what.
 #[derive(Debug)]
-pub struct Post {
+pub struct PeerSocket {
     socket: OnceLock<Arc<UdpSocket>>,
-    waiting: Mutex<HashMap<BookingId, oneshot::Sender<Answer>>>,
+    waiting: Mutex<HashMap<BookingId, oneshot::Sender<Response>>>,
     /// Entries that did not answer lately, with the time until which they are not asked.
     silent: Mutex<HashMap<Hash, Instant>>,
     next: AtomicU64,
@@ -26,13 +26,13 @@
 /// A question that waits for its answer; dropped, it no longer does.
 #[derive(Debug)]
 pub struct Question<'a> {
-    post: &'a Post,
+    post: &'a PeerSocket,
     booking: BookingId,
     /// Resolves to the answer.
-    pub answer: oneshot::Receiver<Answer>,
+    pub response: oneshot::Receiver<Response>,
 }
 
-impl Post {
+impl PeerSocket {
     /// Names of bookings count from `first`, which has to be another in each process.
     pub fn new(first: BookingId) -> Self {
         let (socket, waiting, silent) = (OnceLock::new(), Mutex::default(), Mutex::default());
@@ -47,33 +47,33 @@
     }
 
     /// A name for a booking.
-    pub fn name(&self) -> BookingId {
+    pub fn unique_id(&self) -> BookingId {
         // 0 names none.
         self.next.fetch_add(1, Ordering::Relaxed).max(1)
     }
 
     /// Waits for the answer to a question.
-    pub fn expect(&self, booking: BookingId) -> Question<'_> {
+    pub fn expect_response(&self, booking: BookingId) -> Question<'_> {
         let (sender, answer) = oneshot::channel();
         self.waiting().insert(booking, sender);
-        Question { post: self, booking, answer }
+        Question { post: self, booking, response: answer }
     }
 
     /// Passes an answer to whoever waits for it; gives it back if nobody does any more.
-    pub fn deliver(&self, answer: Answer) -> Result<(), Answer> {
-        match self.waiting().remove(&answer.booking) {
+    pub fn deliver(&self, answer: Response) -> Result<(), Response> {
+        match self.waiting().remove(&answer.reservation) {
             Some(sender) => sender.send(answer),
             None => Err(answer),
         }
     }
 
     /// Notes that an entry did not answer: it is not asked until then.
-    pub fn silent(&self, entry: Hash, until: Instant) {
+    pub fn mark_unresponsive(&self, entry: Hash, until: Instant) {
         self.silence().insert(entry, until);
     }
 
     /// Whether an entry did not answer lately.
-    pub fn is_silent(&self, entry: Hash, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, entry: Hash, now: Instant) -> bool {
         let mut silent = self.silence();
         silent.retain(|_, until| now < *until);
         silent.contains_key(&entry)
@@ -84,9 +84,9 @@
     }
 
     /// Sends a datagram. It may be lost, as any.
-    pub fn send(&self, word: Word, to: SocketAddr) {
+    pub fn send(&self, word: Payload, to: SocketAddr) {
         let Some(socket) = self.socket.get() else { return };
-        let bytes = Exchange { word: Some(word) }.encode_to_vec();
+        let bytes = Envelope { payload: Some(word) }.encode_to_vec();
         let failed = move |error: std::io::Error| {
             log::debug!(target: "peers", address:% = to, error:% = error; "not sent");
         };
@@ -104,7 +104,7 @@
         }
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<BookingId, oneshot::Sender<Answer>>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<BookingId, oneshot::Sender<Response>>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -1,6 +1,6 @@
 //! What is known of the other entries: where they are, and the work that they told of.
 
-use crate::cluster::datagram::{Others, ServiceLoad, State, Work, short};
+use crate::cluster::entry_state::{EntryState, Others, ServiceLoad, Work, short_hash};
 use crate::cluster::groups::Member;
 use crate::cluster::loads::Loads;
 use policy::Hash;
@@ -45,12 +45,12 @@
 
 impl Peers {
     /// The other entries' work at an engine.
-    pub fn others(&self, engine: Hash) -> Others {
-        self.lock().totals.get(&short(engine)).copied().unwrap_or_default()
+    pub fn load_at(&self, engine: Hash) -> Others {
+        self.lock().totals.get(&short_hash(engine)).copied().unwrap_or_default()
     }
 
     /// How many other entries were heard lately.
-    pub fn heard(&self) -> u32 {
+    pub fn reachable_count(&self) -> u32 {
         u32::try_from(self.lock().heard.len()).unwrap_or(u32::MAX)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Takes in an entry's state; `false` if a newer one is known.
-    pub fn observe(&self, state: State, loads: &Loads, now: Instant) -> bool {
+    pub fn observe(&self, state: EntryState, loads: &Loads, now: Instant) -> bool {
         self.lock().hear(state, loads, now)
     }
 
@@ -98,8 +98,8 @@
 
 impl Inner {
     /// Takes in a peer's state; `false` if a newer one is known.
-    fn hear(&mut self, state: State, loads: &Loads, now: Instant) -> bool {
-        let State { entry, run, sequence, work, loads: told, .. } = state;
+    fn hear(&mut self, state: EntryState, loads: &Loads, now: Instant) -> bool {
+        let EntryState { entry, run, sequence, work, loads: told, .. } = state;
         let known = self.heard.get(&entry);
         if known.is_some_and(|peer| peer.run == run && peer.sequence >= sequence) {
             return false;
@@ -107,13 +107,13 @@
         let before = known.filter(|peer| peer.run == run).map(|peer| &*peer.loads);
         for load in &told {
             let before = before.and_then(|rows| rows.iter().find(|b| b.service == load.service));
-            loads.hear(before, load);
+            loads.observe(before, load);
         }
         self.forget(entry);
         let work = work.map(Work::rows).unwrap_or_default();
         for (engine, others) in &work {
             let total = self.totals.entry(*engine).or_default();
-            total.reading += others.reading;
+            total.prefill_tokens += others.prefill_tokens;
             total.streams += others.streams;
         }
         self.heard.insert(entry, Peer { run, sequence, at: now, work, loads: told });
@@ -124,7 +124,7 @@
         let Some(peer) = self.heard.remove(&entry) else { return };
         for (engine, others) in peer.work {
             if let Some(total) = self.totals.get_mut(&engine) {
-                total.reading = total.reading.saturating_sub(others.reading);
+                total.prefill_tokens = total.prefill_tokens.saturating_sub(others.prefill_tokens);
                 total.streams = total.streams.saturating_sub(others.streams);
             }
         }
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -40,7 +40,7 @@
 
 impl Suspects {
     /// Notes that a target crashed while it ran the request; returns the crashes so far.
-    pub fn crashed(&self, request: Fingerprint) -> u32 {
+    pub fn record_crash(&self, request: Fingerprint) -> u32 {
         let mut state = self.lock();
         state.news.push(request);
         state.count(request)
@@ -55,7 +55,7 @@
     }
 
     /// Whether the request is refused.
-    pub fn is_guilty(&self, request: Fingerprint) -> bool {
+    pub fn is_blocked(&self, request: Fingerprint) -> bool {
         let state = self.lock();
         let crashes = state.crashes.get(&request);
         crashes.is_some_and(|c| c.count >= CRASHES && c.last.elapsed() < FORGOTTEN)
--- a/crates/direct/src/cluster/tail.rs
+++ b/crates/direct/src/cluster/tail.rs
@@ -52,36 +52,36 @@
 
 /// Why an entry reads a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum ReadReason {
     /// It reads for all.
     ForAll,
     /// It has not read for long.
     Own,
     /// No entry that it hears has read lately.
-    NoneFresh,
+    NoFreshPeer,
     /// Another has read news.
-    News,
+    NewRecords,
 }
 
-impl Reason {
+impl ReadReason {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::ForAll => "for-all",
             Self::Own => "own",
-            Self::NoneFresh => "none-fresh",
-            Self::News => "news",
+            Self::NoFreshPeer => "none-fresh",
+            Self::NewRecords => "news",
         }
     }
 }
 
 /// What an entry knows of a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
+pub struct ReadStatus {
     /// The stream.
     pub topic: Topic,
     /// The offset after the last record that changed something.
-    pub news: Offset,
+    pub change_end: Offset,
     /// How long ago it was last read.
     pub age: Duration,
 }
@@ -89,31 +89,31 @@
 /// Records of a stream that another entry passes on: all that changed something from `before` on to the
 /// last of them.
 #[derive(Debug, Clone)]
-pub struct Told {
+pub struct RecordSpan {
     /// The stream.
     pub topic: Topic,
     /// The start of the span.
-    pub before: Offset,
+    pub start: Offset,
     /// Whether calls to the log have lately failed for the entry that read it.
-    pub troubled: bool,
+    pub log_degraded: bool,
     /// The records, in order.
     pub records: Vec<Record>,
 }
 
-impl Told {
+impl RecordSpan {
     /// The end of the span.
     pub fn after(&self) -> Offset {
-        self.records.last().map_or(self.before, |last| last.offset + 1)
+        self.records.last().map_or(self.start, |last| last.offset + 1)
     }
 }
 
 /// What an entry that follows a stream does next.
 #[derive(Debug, Clone)]
-pub enum Turn {
+pub enum FollowStep {
     /// It reads.
-    Read(Reason),
+    Read(ReadReason),
     /// It takes what it was told.
-    Take(Told),
+    Apply(RecordSpan),
 }
 
 /// Spans that wait for what lies before them; more are left to be read.
@@ -158,7 +158,7 @@
     reads_for_all: bool,
     own: HashMap<Topic, (Offset, Instant)>,
     others: HashMap<(u64, Topic), (Offset, Instant)>,
-    told: Vec<Told>,
+    told: Vec<RecordSpan>,
     /// The configuration in force, as it was written.
     config: Option<Record>,
     /// The newest epoch of the log, if it has come back from an older copy since this entry first read it.
@@ -212,7 +212,7 @@
     }
 
     /// Takes in an epoch of the log that this entry has read, or that another knows, if it is a new one.
-    pub fn hear_epoch(&self, epoch: Epoch, now: Instant) -> Option<NewEpoch> {
+    pub fn observe_epoch(&self, epoch: Epoch, now: Instant) -> Option<NewEpoch> {
         // Peers tell of it with each datagram.
         if self.epoch.borrow().is_some_and(|known| known >= epoch) {
             return None;
@@ -229,7 +229,7 @@
 
     /// Waits until the log has come back from an older copy since the epoch `seen`, and then for this entry's
     /// turn.
-    pub async fn restored(&self, seen: &mut Option<Epoch>) {
+    pub async fn wait_for_restore(&self, seen: &mut Option<Epoch>) {
         let mut epochs = self.epoch.subscribe();
         loop {
             let Ok(known) = epochs.wait_for(|known| known != seen).await.map(|known| *known) else {
@@ -251,7 +251,7 @@
     }
 
     /// Takes in records that another entry passes on.
-    pub fn tell(&self, told: Told) {
+    pub fn offer(&self, told: RecordSpan) {
         let mut inner = self.lock();
         if inner.told.len() < MAX_TOLD {
             inner.told.push(told);
@@ -261,18 +261,18 @@
     }
 
     /// Records that follow on what was read up to `next`, with what is known already left out.
-    fn take(&self, topic: Topic, next: Offset) -> Option<Told> {
+    fn take(&self, topic: Topic, next: Offset) -> Option<RecordSpan> {
         let mut inner = self.lock();
         inner.told.retain(|told| told.topic != topic || told.after() > next);
-        let at = inner.told.iter().position(|t| t.topic == topic && t.before <= next)?;
+        let at = inner.told.iter().position(|t| t.topic == topic && t.start <= next)?;
         let mut told = inner.told.swap_remove(at);
         // What follows on it is taken at once: each time costs as much as the list of targets is long.
         while let Some(at) =
-            inner.told.iter().position(|t| t.topic == topic && t.before <= told.after())
+            inner.told.iter().position(|t| t.topic == topic && t.start <= told.after())
         {
             let more = inner.told.swap_remove(at);
             let after = told.after();
-            told.troubled |= more.troubled;
+            told.log_degraded |= more.log_degraded;
             told.records.extend(more.records.into_iter().filter(|record| record.offset >= after));
         }
         told.records.retain(|record| record.offset >= next);
@@ -293,7 +293,7 @@
     }
 
     /// The offset after the last record that changed something, as far as this entry knows.
-    pub fn known(&self, topic: Topic) -> Offset {
+    pub fn change_end(&self, topic: Topic) -> Offset {
         self.lock().own.get(&topic).map_or(0, |(news, _)| *news)
     }
 
@@ -306,28 +306,28 @@
 
     /// Notes a read of this entry's, and the offset after the last record that changed something.
     /// Says whether the others should hear of it at once.
-    pub fn read(&self, topic: Topic, news: Offset, now: Instant) -> bool {
+    pub fn record_read(&self, topic: Topic, news: Offset, now: Instant) -> bool {
         let before = self.lock().own.insert(topic, (news, now));
         before.is_none_or(|(before, _)| before < news)
     }
 
     /// What this entry can tell the others.
-    pub fn seen(&self, now: Instant) -> Vec<Seen> {
+    pub fn read_statuses(&self, now: Instant) -> Vec<ReadStatus> {
         let inner = self.lock();
-        let seen = inner.own.iter().map(|(topic, (news, at))| Seen {
+        let seen = inner.own.iter().map(|(topic, (news, at))| ReadStatus {
             topic: *topic,
-            news: *news,
+            change_end: *news,
             age: now.duration_since(*at),
         });
         seen.collect()
     }
 
     /// Takes in what another entry tells.
-    pub fn hear(&self, entry: u64, seen: Seen, now: Instant) {
+    pub fn observe(&self, entry: u64, seen: ReadStatus, now: Instant) {
         let Some(at) = now.checked_sub(seen.age) else { return };
         let mut inner = self.lock();
-        inner.others.insert((entry, seen.topic), (seen.news, at));
-        let known = inner.own.get(&seen.topic).is_some_and(|(news, _)| *news >= seen.news);
+        inner.others.insert((entry, seen.topic), (seen.change_end, at));
+        let known = inner.own.get(&seen.topic).is_some_and(|(news, _)| *news >= seen.change_end);
         drop(inner);
         // Hundreds of datagrams a second tell nothing new; each would wake all that wait.
         if !known {
@@ -364,39 +364,45 @@
     }
 
     /// Why this entry should read the stream, if it should.
-    pub fn why_read(&self, topic: Topic, next: Offset, now: Instant) -> Option<Reason> {
+    pub fn why_read(&self, topic: Topic, next: Offset, now: Instant) -> Option<ReadReason> {
         let inner = self.lock();
         let recent = |at: Instant, span: Duration| now.duration_since(at) < span;
         let own = inner.own.get(&topic).is_some_and(|(_, at)| recent(*at, SELF));
         if inner.reads_for_all {
-            return Some(Reason::ForAll);
+            return Some(ReadReason::ForAll);
         }
         if !own {
-            return Some(Reason::Own);
+            return Some(ReadReason::Own);
         }
         let others = inner.others.iter().filter(|((_, of), _)| *of == topic);
         let mut fresh = others.filter(|(_, (_, at))| recent(*at, topic.fresh())).peekable();
         if fresh.peek().is_none() {
-            return Some(Reason::NoneFresh);
+            return Some(ReadReason::NoFreshPeer);
         }
-        fresh.any(|(_, (news, _))| *news > next).then_some(Reason::News)
+        fresh.any(|(_, (news, _))| *news > next).then_some(ReadReason::NewRecords)
     }
 
     /// Waits until this entry should read the stream, or is told of what comes next in it. If its last
     /// call failed, it does not go on before `again` for the mere reason that nobody else has read it
     /// either.
-    pub async fn turn(&self, topic: Topic, next: Offset, again: Option<Instant>) -> Turn {
+    pub async fn next_step(
+        &self,
+        topic: Topic,
+        next: Offset,
+        again: Option<Instant>,
+    ) -> FollowStep {
         loop {
             if let Some(told) = self.take(topic, next) {
-                return Turn::Take(told);
+                return FollowStep::Apply(told);
             }
             let now = Instant::now();
             let waits = again.is_some_and(|again| now < again);
             let restored = self.lock().waits_restored(next, now);
             match self.why_read(topic, next, now) {
-                Some(Reason::NoneFresh | Reason::Own) if waits => {}
-                Some(Reason::NoneFresh | Reason::Own | Reason::News) if restored => {}
-                Some(reason) => return Turn::Read(reason),
+                Some(ReadReason::NoFreshPeer | ReadReason::Own) if waits => {}
+                Some(ReadReason::NoFreshPeer | ReadReason::Own | ReadReason::NewRecords)
+                    if restored => {}
+                Some(reason) => return FollowStep::Read(reason),
                 None => {}
             }
             // Ends early when another entry tells something.
--- a/crates/direct/src/cluster/usage.rs
+++ b/crates/direct/src/cluster/usage.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::clock::Clock;
 use crate::cluster::groups::Member;
-use crate::cluster::question::{Billed, Used, Word};
+use crate::cluster::messages::{BillingProgress, Payload, UsageCounts};
 use crate::config::customers::CustomerName;
 use policy::usage::{Counts, Ledger, Life, Own, Row, Window};
 use policy::{Hash, Time};
@@ -51,12 +51,12 @@
     own: Own,
     ledger: Ledger,
     /// The last bill of another's that was heard of, and when, by the time since the VM started.
-    billed: Option<(Billed, Time)>,
+    billed: Option<(BillingProgress, Time)>,
 }
 
 impl Usage {
     /// Counts from now on, in windows of this length; `life` tells this run of the process from others.
-    pub fn open(&self, window: Duration, life: Life) {
+    pub fn start(&self, window: Duration, life: Life) {
         if self.window.set(window).is_err() {
             log::warn!(target: "usage", "a second length of windows is left alone");
         }
@@ -70,7 +70,7 @@
     }
 
     /// When a window ends, by the true time of day.
-    pub fn end(&self, window: Window) -> Duration {
+    pub fn window_end(&self, window: Window) -> Duration {
         let length = self.window.get().copied().unwrap_or_default();
         let micros = length.as_micros().saturating_mul(u128::from(window) + 1);
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
@@ -86,51 +86,51 @@
     }
 
     /// Takes in how far another entry has counted.
-    pub fn hear(&self, used: Used) {
-        let Used { life, window, customers, counts } = used;
+    pub fn observe(&self, used: UsageCounts) {
+        let UsageCounts { incarnation: life, window, customers, counts } = used;
         let rows = customers.into_iter().zip(counts);
         let rows = rows.map(|(customer, count)| Row { customer: customer.into(), count });
         self.lock().ledger.take(life, window, rows);
     }
 
     /// Takes in that another entry has written a bill.
-    pub fn billed(&self, billed: Billed, now: Time) {
+    pub fn billed(&self, billed: BillingProgress, now: Time) {
         let mut inner = self.lock();
-        if inner.billed.is_none_or(|(known, _)| known.end < billed.end) {
+        if inner.billed.is_none_or(|(known, _)| known.stream_end < billed.stream_end) {
             inner.billed = Some((billed, now));
         }
     }
 
     /// The last bill of another's that was heard of, and when.
-    pub fn last_billed(&self) -> Option<(Billed, Time)> {
+    pub fn billing_progress(&self) -> Option<(BillingProgress, Time)> {
         self.lock().billed
     }
 
     /// What all customers used in a window, as far as it was told.
-    pub fn sums(&self, window: Window) -> Counts {
+    pub fn totals(&self, window: Window) -> Counts {
         self.lock().ledger.sums(window)
     }
 
     /// The first window that may still be billed, of which anything is known.
-    pub fn first(&self, present: Window) -> Option<Window> {
+    pub fn first_billable(&self, present: Window) -> Option<Window> {
         self.lock().ledger.first(present)
     }
 
     /// Forgets windows far from the present one: each would take memory for as long as the process lives.
-    pub fn forget(&self, present: Window) {
+    pub fn prune(&self, present: Window) {
         self.lock().ledger.forget(present);
     }
 
     /// How long until this entry tells the billers what is due.
-    pub fn pause(&self, entries: u32) -> Duration {
+    pub fn report_interval(&self, entries: u32) -> Duration {
         let pause = (EACH * entries).clamp(LEAST_PAUSE, MOST_PAUSE);
         let now = self.clock.now();
-        let left = self.window_at(now).map(|window| self.end(window).saturating_sub(now));
+        let left = self.window_at(now).map(|window| self.window_end(window).saturating_sub(now));
         left.map_or(pause, |left| pause.min(left + TOLD / 2))
     }
 
     /// What the billers are to be told now: all that was counted, or what they have not heard of.
-    pub fn due(&self, all: bool) -> Vec<Word> {
+    pub fn pending_updates(&self, all: bool) -> Vec<Payload> {
         let mut inner = self.lock();
         if all {
             inner.own.repeat();
@@ -141,7 +141,12 @@
             for rows in rows.chunks(MAX_ROWS) {
                 let customers = rows.iter().map(|row| row.customer.to_string()).collect();
                 let counts = rows.iter().map(|row| row.count).collect();
-                words.push(Word::Used(Used { life, window, customers, counts }));
+                words.push(Payload::UsageCounts(UsageCounts {
+                    incarnation: life,
+                    window,
+                    customers,
+                    counts,
+                }));
             }
         }
         words
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -4,7 +4,7 @@
 use crate::duty::metering;
 use crate::duty::recall;
 use crate::duty::stages;
-use crate::exchange::bulletin::{self, Bulletin};
+use crate::exchange::entry_stream::{self, StreamView};
 use crate::exchange::follow::{self, Decode};
 use crate::exchange::gossip;
 use crate::measured::Measured;
@@ -120,15 +120,20 @@
         let mut tasks = JoinSet::new();
         tasks.spawn(follow::config(shared.clone(), log.clone(), decode.clone()));
         tasks.spawn(follow::targets(shared.clone(), log.clone(), decode));
-        let (told, heard) = watch::channel(Bulletin::default());
-        tasks.spawn(bulletin::tell(shared.clone(), log.clone(), addresses.peers, stop.clone()));
-        tasks.spawn(bulletin::suspect(shared.clone(), log.clone()));
-        tasks.spawn(bulletin::read(shared.clone(), log.clone(), told));
+        let (told, heard) = watch::channel(StreamView::default());
+        tasks.spawn(entry_stream::publish_heartbeats(
+            shared.clone(),
+            log.clone(),
+            addresses.peers,
+            stop.clone(),
+        ));
+        tasks.spawn(entry_stream::publish_suspects(shared.clone(), log.clone()));
+        tasks.spawn(entry_stream::follow(shared.clone(), log.clone(), told));
         tasks.spawn(gossip::publish(shared.clone(), peers.clone()));
         tasks.spawn(gossip::receive(shared.clone(), peers));
         if let Some((meter, settings)) = meter {
-            let life = shared.post.name();
-            shared.usage.open(settings.window, life);
+            let life = shared.post.unique_id();
+            shared.usage.start(settings.window, life);
             tasks.spawn(metering::run(shared.clone()));
             tasks.spawn(billing::run(shared.clone(), log.clone(), meter, settings, life));
         }
@@ -188,7 +193,7 @@
         let standings = shared.workload.standings.counts(now);
         shared.metrics.leaving.set(standings.leaving);
         shared.metrics.paused.set(standings.paused);
-        for seen in shared.tail.seen(now) {
+        for seen in shared.tail.read_statuses(now) {
             shared.metrics.age(seen.topic.name(), seen.age);
         }
         (StatusCode::OK, shared.metrics.text())
--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -13,7 +13,7 @@
 mod record;
 
 use crate::cluster::clock::since_boot;
-use crate::cluster::question::{Billed, Word};
+use crate::cluster::messages::{BillingProgress, Payload};
 use crate::cluster::usage;
 use crate::duty::metering;
 use crate::shared::Shared;
@@ -164,16 +164,16 @@
     /// For how long the next window has been ready to be billed; `None` if it is not.
     fn due(&self, present: Duration) -> Option<Duration> {
         let usage = &self.shared.usage;
-        let next = self.next.or_else(|| usage.first(usage.window_at(present)?))?;
-        present.checked_sub(usage.end(next) + SETTLED)
+        let next = self.next.or_else(|| usage.first_billable(usage.window_at(present)?))?;
+        present.checked_sub(usage.window_end(next) + SETTLED)
     }
 
     /// Takes in what another entry has told of its bills.
     fn hear(&mut self) {
-        let Some((billed, at)) = self.shared.usage.last_billed() else { return };
-        self.next = self.next.max(Some(billed.next));
-        if billed.end > self.end {
-            self.tenure.hear(billed.end, at);
+        let Some((billed, at)) = self.shared.usage.billing_progress() else { return };
+        self.next = self.next.max(Some(billed.next_window));
+        if billed.stream_end > self.end {
+            self.tenure.hear(billed.stream_end, at);
         }
     }
 
@@ -240,12 +240,12 @@
     /// Fixes the windows that are due.
     async fn fix(&mut self, present: Duration) -> plat::Result<()> {
         let usage = &self.shared.usage;
-        let first = usage.window_at(present).and_then(|present| usage.first(present));
+        let first = usage.window_at(present).and_then(|present| usage.first_billable(present));
         let Some(next) = self.next.or(first) else { return Ok(()) };
-        let is_due = |window: &Window| usage.end(*window) + SETTLED <= present;
+        let is_due = |window: &Window| usage.window_end(*window) + SETTLED <= present;
         let windows = (next..next.saturating_add(MAX_BILLS)).take_while(is_due);
         let bills: Vec<_> =
-            windows.map(|window| Bill { window, counts: usage.sums(window) }).collect();
+            windows.map(|window| Bill { window, counts: usage.totals(window) }).collect();
         let epoch = epoch(self.end);
         let Some(after) = bills.last().map(|bill| bill.window + 1) else { return Ok(()) };
         let settled = self.open.keys().next().copied().unwrap_or(next);
@@ -278,8 +278,8 @@
         }
         self.next = Some(after);
         log::info!(target: "billing", offset, next = after; "bill fixed");
-        let billed = Billed { end: self.end, next: after };
-        metering::publish(&self.shared, &Word::Billed(billed));
+        let billed = BillingProgress { stream_end: self.end, next_window: after };
+        metering::publish(&self.shared, &Payload::BillingProgress(billed));
         Ok(())
     }
 
--- a/crates/direct/src/duty/metering.rs
+++ b/crates/direct/src/duty/metering.rs
@@ -1,13 +1,13 @@
 //! Tells the entries that may bill what customers have used, see [`crate::cluster::usage`].
 
-use crate::cluster::question::Word;
+use crate::cluster::messages::Payload;
 use crate::cluster::usage::billers;
 use crate::shared::Shared;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// Sends a word to all others that may bill.
-pub fn publish(shared: &Shared, word: &Word) {
+pub fn publish(shared: &Shared, word: &Payload) {
     for address in addresses(shared) {
         shared.post.send(word.clone(), address);
     }
@@ -22,14 +22,14 @@
 pub async fn run(shared: Arc<Shared>) {
     let mut told = Vec::new();
     loop {
-        tokio::time::sleep(shared.usage.pause(shared.entries())).await;
+        tokio::time::sleep(shared.usage.report_interval(shared.entries())).await;
         if let Some(present) = shared.usage.window_at(shared.usage.clock.now()) {
-            shared.usage.forget(present);
+            shared.usage.prune(present);
         }
         let billers = addresses(&shared);
         // One that has just become a biller has heard of nothing.
         let new = billers.iter().any(|address| !told.contains(address));
-        for word in shared.usage.due(new) {
+        for word in shared.usage.pending_updates(new) {
             publish(&shared, &word);
         }
         told = billers;
--- a/crates/direct/src/duty/stages.rs
+++ b/crates/direct/src/duty/stages.rs
@@ -18,7 +18,7 @@
 
 use crate::border::TargetId;
 use crate::config::route::{Service, ServiceName, Stage};
-use crate::exchange::bulletin::Bulletin;
+use crate::exchange::entry_stream::StreamView;
 use crate::shared::Shared;
 use crate::targets::target::Target;
 use orders::{ANNOUNCED, Changes, TOLD};
@@ -83,7 +83,11 @@
 const CALM: Duration = Duration::from_secs(4);
 
 /// Plans and orders for as long as the process lives.
-pub async fn run(shared: Arc<Shared>, log: Arc<dyn KeyedLog>, bulletin: watch::Receiver<Bulletin>) {
+pub async fn run(
+    shared: Arc<Shared>,
+    log: Arc<dyn KeyedLog>,
+    bulletin: watch::Receiver<StreamView>,
+) {
     let mut planner = Planner { shared, log, bulletin, watched: HashMap::new() };
     loop {
         tokio::time::sleep(planner.pause()).await;
@@ -99,7 +103,7 @@
 struct Planner {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    bulletin: watch::Receiver<Bulletin>,
+    bulletin: watch::Receiver<StreamView>,
     watched: HashMap<ServiceName, Watched>,
 }
 
@@ -217,12 +221,12 @@
 
     /// Takes in what was asked for since the last look, and how many streams there are.
     fn observe(&self, service: &Service, watched: &mut Watched, now: Instant) {
-        let asked = self.shared.loads.asked(&service.name);
+        let asked = self.shared.loads.requested_tokens(&service.name);
         let Some((before, at)) = watched.last.replace((asked, now)) else { return };
         let engines = self.shared.usable(&service.name);
         let streams = engines
             .iter()
-            .map(|engine| engine.engine.streams() + self.shared.peers.others(engine.key).streams);
+            .map(|engine| engine.engine.streams() + self.shared.peers.load_at(engine.key).streams);
         let elapsed = now.duration_since(at);
         watched.demand.observe(asked.saturating_sub(before), streams.sum(), elapsed);
     }
@@ -302,7 +306,7 @@
         engines: &[Engine],
     ) -> Option<(balance::Load, balance::Pool)> {
         let spec = service.engine.as_ref()?;
-        let pace = self.shared.loads.pace(&service.name, spec.places)?;
+        let pace = self.shared.loads.engine_profile(&service.name, spec.places)?;
         let load = watched.demand.load(&pace, spec.switch + NOTICED);
         let here = |part| engines.iter().filter(|e| e.present && e.part == part).count();
         let pool = balance::Pool { readers: here(Part::Reads), writers: here(Part::Writes) };
@@ -341,15 +345,15 @@
         let settings = &self.shared.settings.split;
         let places = service.engine.as_ref().map_or(1, |engine| engine.places);
         // A system that starts for the first time has served nobody who could have shown its pace.
-        let first = self.shared.settings.first_start && !self.bulletin.borrow().any_plan;
+        let first = self.shared.settings.first_start && !self.bulletin.borrow().has_plan;
         let guess = (now || first).then(|| split::assumed(places));
-        let pace = self.shared.loads.pace(&service.name, places).or(guess)?;
+        let pace = self.shared.loads.engine_profile(&service.name, places).or(guess)?;
         let need = watched.demand.need(&pace);
         Some(split::share(settings, &pace, &need))
     }
 
     fn engine(&self, target: &Target, stage: Stage, now: Instant) -> Engine {
-        let others = self.shared.peers.others(target.key);
+        let others = self.shared.peers.load_at(target.key);
         Engine {
             part: part(stage),
             // One that writes changes once its last stream has ended.
@@ -364,29 +368,30 @@
     /// Whether this entry may order an engine: no other has planned to lately.
     fn may_name(&self, engine: &TargetId, now: Instant) -> bool {
         let bulletin = self.bulletin.borrow();
-        let mut plans = bulletin.named.iter().filter(|named| named.engine == *engine);
+        let mut plans = bulletin.planned_engines.iter().filter(|named| named.engine == *engine);
         plans.all(|named| {
-            named.holder == self.shared.settings.name || now.duration_since(named.at) >= QUIET
+            named.planner == self.shared.settings.name || now.duration_since(named.read_at) >= QUIET
         })
     }
 
     /// Whether this entry may plan to mend what has been wrong since `since`.
     fn is_our_turn(&self, wrong: Wrong, since: Instant, now: Instant) -> bool {
         let bulletin = self.bulletin.borrow();
-        let (Some(planned), Some(complete)) = (bulletin.planned, bulletin.complete) else {
+        let (Some(planned), Some(complete)) = (bulletin.last_plan_at, bulletin.complete_since)
+        else {
             return false;
         };
         let name = &self.shared.settings.name;
         let before = bulletin.entries.iter().take_while(|entry| *entry != name).count();
         let turns = u32::try_from(before).unwrap_or(u32::MAX);
         // At the first start nobody can have planned before what stands in the stream.
-        let first = self.shared.settings.first_start && !bulletin.any_plan;
+        let first = self.shared.settings.first_start && !bulletin.has_plan;
         let knows_all = first || now.duration_since(complete) >= QUIET;
         let wrong_for = now.duration_since(since);
         match wrong {
             Wrong::Lacks(_) => knows_all && wrong_for >= LACKING + SHORT_TURN * turns,
             Wrong::Short(_) => {
-                let own = bulletin.named.iter().all(|named| named.holder == *name);
+                let own = bulletin.planned_engines.iter().all(|named| named.planner == *name);
                 let quiet = first || now.duration_since(planned) >= if own { AGAIN } else { QUIET };
                 knows_all && quiet && wrong_for >= LACKING + SHORT_TURN * turns
             }
--- a/crates/direct/src/duty/stages/orders.rs
+++ b/crates/direct/src/duty/stages/orders.rs
@@ -6,10 +6,10 @@
 use super::Planner;
 use crate::border::{Report, StageOrder};
 use crate::cluster::clock::since_boot;
-use crate::cluster::tail::{Told, Topic};
+use crate::cluster::tail::{RecordSpan, Topic};
 use crate::config::route::Stage;
 use crate::exchange::broadcast;
-use crate::exchange::bulletin;
+use crate::exchange::entry_stream;
 use crate::exchange::notice::{self, Kind, Plan};
 use crate::targets::attempt;
 use crate::targets::target::{CHANGE, Target};
@@ -44,14 +44,15 @@
             ids.map(|(target, _)| target.id.to_string()).collect()
         };
         let plan = Plan {
-            holder: self.shared.settings.name.to_string(),
-            readers: of(Stage::Prefill),
-            writers: of(Stage::Decode),
-            made: u64::try_from(self.shared.usage.clock.now().as_micros()).unwrap_or_default(),
+            planner: self.shared.settings.name.to_string(),
+            to_prefill: of(Stage::Prefill),
+            to_decode: of(Stage::Decode),
+            created_us: u64::try_from(self.shared.usage.clock.now().as_micros())
+                .unwrap_or_default(),
         };
         let began = since_boot();
-        let record = notice::record(Kind::Plan(plan.clone()));
-        let fence = match self.log.append_at(bulletin::STREAM, end, record.clone()).await {
+        let record = notice::encode(Kind::Plan(plan.clone()));
+        let fence = match self.log.append_at(entry_stream::STREAM, end, record.clone()).await {
             Ok(offset) => offset,
             Err(error) => {
                 // Moved: somebody wrote meanwhile, perhaps only that it lives. What it wrote is read
@@ -63,12 +64,12 @@
                 return;
             }
         };
-        bulletin::announce(&self.shared, &plan, CHANGE);
-        let (topic, before) = (Topic::Notices, self.shared.tail.known(Topic::Notices));
+        entry_stream::expect_changes(&self.shared, &plan, CHANGE);
+        let (topic, before) = (Topic::Notices, self.shared.tail.change_end(Topic::Notices));
         let record = Record { offset: fence, key: CompactString::default(), value: Some(record) };
-        broadcast::tell(
+        broadcast::send(
             &self.shared,
-            &Told { topic, before, troubled: false, records: vec![record] },
+            &RecordSpan { topic, start: before, log_degraded: false, records: vec![record] },
         );
         tokio::time::sleep(announced).await;
         let orders = changes.into_iter().map(|(target, stage)| async move {
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -2,8 +2,8 @@
 //! answers as a coordinator.
 
 pub mod broadcast;
-pub mod bulletin;
 pub mod coordination;
+pub mod entry_stream;
 pub mod follow;
 pub mod gossip;
 pub mod notice;
--- a/crates/direct/src/exchange/broadcast.rs
+++ b/crates/direct/src/exchange/broadcast.rs
@@ -7,8 +7,8 @@
 //! something before them, or does not get the datagram, reads the log as soon as it hears that there is
 //! news, see [`crate::cluster::tail`]. Nothing is taken twice or out of order.
 
-use crate::cluster::question::{Lack, News, Row, Word};
-use crate::cluster::tail::{TOPICS, Told, Topic};
+use crate::cluster::messages::{Lack, News, Payload, Row};
+use crate::cluster::tail::{RecordSpan, TOPICS, Topic};
 use crate::shared::Shared;
 use bytes::Bytes;
 use plat::{Offset, Record, epoch};
@@ -26,37 +26,37 @@
 const MAX_RECORDS: usize = 16;
 
 /// Passes on what was read, if this entry reads for all.
-pub fn pass_on(shared: &Shared, span: &Told) {
+pub fn pass_on(shared: &Shared, span: &RecordSpan) {
     let too_large = |record: &Record| size(record) > MAX_RECORD;
     let many = span.records.len() > MAX_RECORDS || span.records.iter().any(too_large);
     // Between two epochs lies what nobody has read, unless one record is all there is.
     let is_whole =
-        span.topic == Topic::Config || epoch::epoch(span.before) == epoch::epoch(span.after());
+        span.topic == Topic::Config || epoch::epoch(span.start) == epoch::epoch(span.after());
     if many || !is_whole || !shared.tail.reads_for_all() {
         return;
     }
-    tell(shared, span);
+    send(shared, span);
 }
 
 /// Sends records to all other entries.
-pub fn tell(shared: &Shared, span: &Told) {
+pub fn send(shared: &Shared, span: &RecordSpan) {
     let members = shared.peers.members();
     for news in divide(span) {
         for address in members.iter().filter_map(|member| member.address) {
-            shared.post.send(Word::News(news.clone()), address);
+            shared.post.send(Payload::News(news.clone()), address);
         }
     }
 }
 
 /// Puts records into datagrams, each of which begins where the one before it ends.
-fn divide(span: &Told) -> Vec<News> {
+fn divide(span: &RecordSpan) -> Vec<News> {
     let mut all: Vec<News> = Vec::new();
-    let (mut before, mut left) = (span.before, 0);
+    let (mut before, mut left) = (span.start, 0);
     for record in &span.records {
         match all.last_mut().filter(|_| size(record) <= left) {
             Some(news) => news.records.push(row(record)),
             None => {
-                let (topic, troubled) = (number(span.topic), span.troubled);
+                let (topic, troubled) = (number(span.topic), span.log_degraded);
                 all.push(News { topic, before, records: vec![row(record)], troubled });
                 left = MAX_BYTES;
             }
@@ -90,7 +90,7 @@
     let members = shared.peers.members();
     let member = members.iter().find(|member| member.key == ahead);
     if let Some(address) = member.and_then(|member| member.address) {
-        shared.post.send(Word::Lack(Lack { next }), address);
+        shared.post.send(Payload::Lack(Lack { next }), address);
     }
 }
 
@@ -100,7 +100,7 @@
     let Some(record) = record else { return };
     let (topic, before) = (number(Topic::Config), lack.next);
     let news = News { topic, before, troubled: true, records: vec![row(&record)] };
-    shared.post.send(Word::News(news), from);
+    shared.post.send(Payload::News(news), from);
 }
 
 /// Takes in what another entry has read.
@@ -114,5 +114,10 @@
         value: row.value.map(Bytes::from),
     });
     let (before, troubled) = (news.before, news.troubled);
-    shared.tail.tell(Told { topic, before, troubled, records: records.collect() });
+    shared.tail.offer(RecordSpan {
+        topic,
+        start: before,
+        log_degraded: troubled,
+        records: records.collect(),
+    });
 }
--- a/crates/direct/src/exchange/coordination.rs
+++ b/crates/direct/src/exchange/coordination.rs
@@ -9,9 +9,9 @@
 mod reading;
 mod writing;
 
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
-use crate::cluster::question::{Answer, Report, Word};
+use crate::cluster::messages::{Payload, Report, Response};
 use crate::config::route::Service;
 use crate::shared::Shared;
 use crate::targets::target::{Target, Way};
@@ -19,48 +19,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-pub use permits::hear as hear_limit;
+pub use permits::hear as observe_limit;
 
 /// An engine that has work counts as away when it has said nothing for so many times what a first
 /// answer may take.
 const SILENCE: u32 = 3;
 
 /// Answers a question; `None` if it is none, or its group or service is not known here.
-pub fn answer(shared: &Shared, question: &Word) -> Option<Answer> {
+pub fn respond(shared: &Shared, question: &Payload) -> Option<Response> {
     match question {
-        Word::Ask(ask) => reading::decide(shared, ask),
-        Word::Place(ask) => writing::decide(shared, ask),
-        Word::Permit(ask) => Some(permits::decide(shared, ask)),
-        Word::Answer(_)
-        | Word::Report(_)
-        | Word::News(_)
-        | Word::Lack(_)
-        | Word::Used(_)
-        | Word::Billed(_)
-        | Word::Limit(_) => None,
+        Payload::PrefillRequest(ask) => reading::decide(shared, ask),
+        Payload::DecodeRequest(ask) => writing::decide(shared, ask),
+        Payload::PermitRequest(ask) => Some(permits::decide(shared, ask)),
+        Payload::Response(_)
+        | Payload::Report(_)
+        | Payload::News(_)
+        | Payload::Lack(_)
+        | Payload::UsageCounts(_)
+        | Payload::BillingProgress(_)
+        | Payload::TargetLimit(_) => None,
     }
 }
 
 fn service(shared: &Shared, key: u32) -> Option<Arc<Service>> {
     let table = shared.table.borrow().clone()?;
     let mut services = table.services();
-    services.find(|service| short(policy::hash(&service.name)) == key).cloned()
+    services.find(|service| short_hash(policy::hash(&service.name)) == key).cloned()
 }
 
 /// Takes in what became of a prompt.
-pub fn take(shared: &Shared, report: &Report) {
+pub fn apply_report(shared: &Shared, report: &Report) {
     let engines = shared.fleet().engines();
-    let engine = engines.iter().find(|engine| short(engine.key) == report.engine);
+    let engine = engines.iter().find(|engine| short_hash(engine.key) == report.engine);
     // One that is gone, or that is not yet listed here.
     let Some(engine) = engine else { return };
-    shared.coordinator.end(engine.key, report.booking);
-    if let Some(kept) = &report.kept {
+    shared.coordinator.end(engine.key, report.reservation);
+    if let Some(kept) = &report.cached {
         engine.engine.keep(&kept.rows(), room(shared, engine));
     }
-    if let Some(moved) = &report.moved {
-        let (now, took) = (Instant::now(), Duration::from_micros(moved.took_us));
+    if let Some(moved) = &report.transfer {
+        let (now, took) = (Instant::now(), Duration::from_micros(moved.duration_us));
         engine.handed_over(Way::In, took, now);
-        if let Some(from) = engines.iter().find(|engine| short(engine.key) == moved.from) {
+        if let Some(from) = engines.iter().find(|engine| short_hash(engine.key) == moved.source) {
             from.handed_over(Way::Out, took, now);
         }
     }
--- a/crates/direct/src/exchange/coordination/permits.rs
+++ b/crates/direct/src/exchange/coordination/permits.rs
@@ -1,8 +1,10 @@
 //! Whether a request may be sent to a target that named a limit.
 
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{self, Group};
-use crate::cluster::question::{Answer, AskPermit, Full, Permitted, Room, TargetLimit};
+use crate::cluster::messages::{
+    Decision, PermitRequest, Permitted, Refused, Response, TargetLimit,
+};
 use crate::shared::Shared;
 use crate::targets::target::Target;
 use policy::pacing::{ALONE_PART, STANDBY_PART};
@@ -23,7 +25,7 @@
 }
 
 /// Answers a question for a permit.
-pub(super) fn decide(shared: &Shared, ask: &AskPermit) -> Answer {
+pub(super) fn decide(shared: &Shared, ask: &PermitRequest) -> Response {
     let now = Instant::now();
     if let Some(limit) = &ask.limit {
         hear(shared, limit);
@@ -31,21 +33,21 @@
     let given = match find(shared, ask.service, ask.target) {
         Some(target) => {
             let groups = shared.groups(&target.service);
-            let group = groups::of(&groups, &target);
+            let group = groups::group_of(&groups, &target);
             let part = || group.map_or(STANDBY_PART, |group| self::part(shared, group));
-            let asker = ask.asker.unwrap_or_default().ask();
+            let asker = ask.requester.unwrap_or_default().ask();
             shared.coordinator.permits.take(target.key, part, asker, now)
         }
         None => Err(UNLISTED),
     };
     let room = match given {
-        Ok(_) => Room::Permitted(Permitted {}),
+        Ok(_) => Decision::Permitted(Permitted {}),
         Err(after) => {
             let after_us = u64::try_from(after.as_micros()).unwrap_or(u64::MAX);
-            Room::Full(Full { after_us, ..Full::default() })
+            Decision::Refused(Refused { retry_after_us: after_us, ..Refused::default() })
         }
     };
-    Answer { booking: ask.booking, room: Some(room) }
+    Response { reservation: ask.reservation, decision: Some(room) }
 }
 
 /// Takes in which limit a target names.
@@ -60,11 +62,16 @@
         log::warn!(target: "peers", target_id = target.id.as_str(); "limit not readable");
         return;
     }
-    shared.coordinator.permits.hear(target.key, rate, ago(limit.sent_ms), ago(limit.heard_ms));
+    shared.coordinator.permits.hear(
+        target.key,
+        rate,
+        ago(limit.request_age_ms),
+        ago(limit.response_age_ms),
+    );
 }
 
 fn find(shared: &Shared, service: u32, target: u32) -> Option<Arc<Target>> {
     let service = super::service(shared, service)?;
     let targets = shared.usable(&service.name);
-    targets.iter().find(|other| short(other.key) == target).cloned()
+    targets.iter().find(|other| short_hash(other.key) == target).cloned()
 }
--- a/crates/direct/src/exchange/coordination/reading.rs
+++ b/crates/direct/src/exchange/coordination/reading.rs
@@ -3,9 +3,11 @@
 use super::permits::part;
 use super::{SILENCE, service};
 use crate::border::Part;
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
-use crate::cluster::question::{Answer, Ask, Full, Granted, Holder, Parts, Room};
+use crate::cluster::messages::{
+    CachedPrefix, Decision, Granted, Parts, PrefillRequest, Refused, Response,
+};
 use crate::config::route::{Service, Stage};
 use crate::shared::Shared;
 use crate::targets::target::{Target, Way};
@@ -16,14 +18,14 @@
 use tokio::time::Instant;
 
 /// Answers a question for one; `None` if the group or its service is not known here.
-pub(super) fn decide(shared: &Shared, ask: &Ask) -> Option<Answer> {
+pub(super) fn decide(shared: &Shared, ask: &PrefillRequest) -> Option<Response> {
     let now = Instant::now();
     let service = service(shared, ask.service)?;
     let groups = shared.groups(&service.name);
     let group = groups.iter().find(|group| group.key == ask.group)?;
     let parts = ask.parts.as_ref().map(Parts::rows).unwrap_or_default();
     let desk = Desk { shared, service: &service, group, ask, parts, now };
-    Some(Answer { booking: ask.booking, room: Some(desk.room()) })
+    Some(Response { reservation: ask.reservation, decision: Some(desk.room()) })
 }
 
 /// A group's engines that can be had now.
@@ -41,15 +43,15 @@
     shared: &'a Shared,
     service: &'a Service,
     group: &'a Group,
-    ask: &'a Ask,
+    ask: &'a PrefillRequest,
     parts: Vec<Part>,
     now: Instant,
 }
 
 impl Desk<'_> {
-    fn room(&self) -> Room {
+    fn room(&self) -> Decision {
         let Able { readers, writers, permit_after } = self.able();
-        let first = if self.ask.writers { &writers } else { &readers };
+        let first = if self.ask.decode_engines { &writers } else { &readers };
         let (place, choice) = self.place(first);
         match place {
             Place::Read { at, copy_from, tokens } => {
@@ -58,23 +60,27 @@
                     Ok(permit) => permit,
                     Err(after) => return self.full(after, &choice, false),
                 };
-                self.shared.coordinator.book(engine.key, self.ask.booking, tokens, self.now);
-                let copy_from = copy_from.map_or(0, |from| short(choice[from].key));
-                let (engine, waiting) = (short(engine.key), choice[at].waiting);
-                Room::Granted(Granted { engine, copy_from, tokens, waiting, permit })
+                self.shared.coordinator.book(engine.key, self.ask.reservation, tokens, self.now);
+                let copy_from = copy_from.map_or(0, |from| short_hash(choice[from].key));
+                let (engine, waiting) = (short_hash(engine.key), choice[at].waiting);
+                Decision::Granted(Granted { engine, copy_from, tokens, waiting, permit })
             }
             Place::Full(after) => {
-                let writer =
-                    !self.ask.writers && matches!(self.place(&writers).0, Place::Read { .. });
+                let writer = !self.ask.decode_engines
+                    && matches!(self.place(&writers).0, Place::Read { .. });
                 let after = permit_after.map_or(after, |permit| permit.min(after));
                 self.full(after, &choice, writer)
             }
         }
     }
 
-    fn full(&self, after: Duration, choice: &[Reader], writer: bool) -> Room {
+    fn full(&self, after: Duration, choice: &[Reader], writer: bool) -> Decision {
         let after_us = u64::try_from(after.as_micros()).unwrap_or(u64::MAX);
-        Room::Full(Full { after_us, holder: self.holder(choice), writer })
+        Decision::Refused(Refused {
+            retry_after_us: after_us,
+            cached_prefix: self.holder(choice),
+            decode_engine: writer,
+        })
     }
 
     /// Gives a permit for a request to an engine, if it needs one.
@@ -90,12 +96,12 @@
     }
 
     fn asker(&self) -> pacing::Ask {
-        self.ask.asker.unwrap_or_default().ask()
+        self.ask.requester.unwrap_or_default().ask()
     }
 
     fn able(&self) -> Able {
         let patience = Duration::from_millis(self.ask.objective_ms.into()) * SILENCE;
-        let allowed = |engine: &&Arc<Target>| !self.ask.avoid.contains(&short(engine.key));
+        let allowed = |engine: &&Arc<Target>| !self.ask.avoid.contains(&short_hash(engine.key));
         let engines = self.group.engines.iter().filter(allowed);
         let engines = engines.filter(|engine| !engine.is_changing(self.now));
         let here = engines.filter(|engine| !engine.is_away(patience, self.now));
@@ -109,10 +115,10 @@
     }
 
     fn reader(&self, engine: &Arc<Target>, new: bool) -> Reader {
-        let others = self.shared.peers.others(engine.key);
+        let others = self.shared.peers.load_at(engine.key);
         let streams = engine.engine.streams() + others.streams;
-        let granted = self.shared.coordinator.waiting(engine.key, self.now);
-        let told = if new { engine.engine.reading() + others.reading } else { 0 };
+        let granted = self.shared.coordinator.queued_tokens(engine.key, self.now);
+        let told = if new { engine.engine.reading() + others.prefill_tokens } else { 0 };
         Reader {
             key: engine.key,
             writes: engine.stage() != Some(Stage::Prefill),
@@ -133,7 +139,7 @@
         let mut choice = able.to_vec();
         choice.extend(self.sources(able));
         let prompt = Prompt {
-            start: self.ask.start,
+            start: self.ask.prefix_hash,
             tokens: self.ask.tokens.into(),
             objective: Duration::from_millis(self.ask.objective_ms.into()),
             late: self.ask.late,
@@ -146,9 +152,9 @@
     /// known here, and the one that the question names.
     fn sources(&self, able: &[Reader]) -> Vec<Reader> {
         let engines = self.shared.usable(&self.service.name);
-        let named = self.ask.holder.unwrap_or_default();
+        let named = self.ask.cached_prefix.unwrap_or_default();
         let named = |engine: &Target| {
-            if short(engine.key) == named.engine { u64::from(named.tokens) } else { 0 }
+            if short_hash(engine.key) == named.engine { u64::from(named.tokens) } else { 0 }
         };
         let others = engines.iter().filter(|engine| able.iter().all(|r| r.key != engine.key));
         let keeping = others.map(|engine| (engine, self.kept(engine).max(named(engine))));
@@ -157,9 +163,9 @@
     }
 
     /// The engine that keeps most of the prompt, for a group that is asked next.
-    fn holder(&self, choice: &[Reader]) -> Option<Holder> {
+    fn holder(&self, choice: &[Reader]) -> Option<CachedPrefix> {
         let most = choice.iter().max_by_key(|reader| reader.kept)?;
         let tokens = u32::try_from(most.kept).unwrap_or(u32::MAX);
-        (tokens > 0).then(|| Holder { engine: short(most.key), tokens })
+        (tokens > 0).then(|| CachedPrefix { engine: short_hash(most.key), tokens })
     }
 }
--- a/crates/direct/src/exchange/coordination/writing.rs
+++ b/crates/direct/src/exchange/coordination/writing.rs
@@ -2,9 +2,9 @@
 
 use super::permits::part;
 use super::{SILENCE, service};
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
-use crate::cluster::question::{Answer, AskPlace, Full, Granted, Room};
+use crate::cluster::messages::{Decision, DecodeRequest, Granted, Refused, Response};
 use crate::config::route::Stage;
 use crate::shared::Shared;
 use crate::targets::target::{Target, Way};
@@ -14,41 +14,42 @@
 use tokio::time::Instant;
 
 /// Answers a question for one; `None` if the group or its service is not known here.
-pub(super) fn decide(shared: &Shared, ask: &AskPlace) -> Option<Answer> {
+pub(super) fn decide(shared: &Shared, ask: &DecodeRequest) -> Option<Response> {
     let now = Instant::now();
     let service = service(shared, ask.service)?;
     let groups = shared.groups(&service.name);
     let group = groups.iter().find(|group| group.key == ask.group)?;
     let best = best(shared, group, ask, now);
-    let best = best.filter(|(writer, _)| writer.has_room(ask.filled)).map(|(_, engine)| engine);
+    let best =
+        best.filter(|(writer, _)| writer.has_room(ask.max_fill_percent)).map(|(_, engine)| engine);
     let permit = best.map(|engine| {
-        let asker = ask.asker.unwrap_or_default().ask();
+        let asker = ask.requester.unwrap_or_default().ask();
         shared.coordinator.permits.take(engine.key, || part(shared, group), asker, now)
     });
     let room = match (best, permit) {
         (Some(engine), Some(Ok(permit))) => {
-            let span = Duration::from_millis(ask.lapse_ms.into());
-            shared.coordinator.book_place(engine.key, ask.booking, span, now);
-            let engine = short(engine.key);
-            Room::Granted(Granted { engine, permit, ..Granted::default() })
+            let span = Duration::from_millis(ask.ttl_ms.into());
+            shared.coordinator.book_place(engine.key, ask.reservation, span, now);
+            let engine = short_hash(engine.key);
+            Decision::Granted(Granted { engine, permit, ..Granted::default() })
         }
-        _ => Room::Full(Full::default()),
+        _ => Decision::Refused(Refused::default()),
     };
-    Some(Answer { booking: ask.booking, room: Some(room) })
+    Some(Response { reservation: ask.reservation, decision: Some(room) })
 }
 
 /// The engine of the group that writes best, of equal ones any.
 fn best<'a>(
     shared: &Shared,
     group: &'a Group,
-    ask: &AskPlace,
+    ask: &DecodeRequest,
     now: Instant,
 ) -> Option<(Writer, &'a Arc<Target>)> {
     let new = shared.coordinator.is_new(group.key, now);
     let objective = Duration::from_millis(ask.objective_ms.into());
-    let rank = ask.asker.unwrap_or_default().ask().rank;
+    let rank = ask.requester.unwrap_or_default().ask().rank;
     let able = group.engines.iter().filter(|engine| {
-        let allowed = !ask.avoid.contains(&short(engine.key));
+        let allowed = !ask.avoid.contains(&short_hash(engine.key));
         let able = engine.stage() != Some(Stage::Prefill) && !engine.is_changing(now);
         let permits = &shared.coordinator.permits;
         allowed && able && permits.look(engine.key, || part(shared, group), rank, now).is_ok()
@@ -69,7 +70,7 @@
     now: Instant,
 ) -> Writer {
     let granted = shared.coordinator.streams(engine.key, now);
-    let others = shared.peers.others(engine.key).streams;
+    let others = shared.peers.load_at(engine.key).streams;
     let told = if new { engine.engine.streams() + others } else { 0 };
     Writer {
         away: engine.is_away(objective * SILENCE, now),
--- a/crates/direct/src/exchange/bulletin.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -7,7 +7,7 @@
 mod reader;
 
 use crate::border::TargetId;
-use crate::exchange::notice::{self, Heartbeat, Kind, Plan, Suspects};
+use crate::exchange::notice::{self, Heartbeat, Kind, Plan, SuspectedRequests};
 use crate::shared::Shared;
 use compact_str::CompactString;
 use plat::{KeyedLog, Offset};
@@ -48,19 +48,19 @@
 
 /// What was read so far.
 #[derive(Debug, Clone, Default)]
-pub struct Bulletin {
+pub struct StreamView {
     /// Where the next record will stand; none before the first read.
     pub end: Option<Offset>,
     /// When the last plan was read; before one is, when the stream was first read: older plans may
     /// have expired from it.
-    pub planned: Option<Instant>,
+    pub last_plan_at: Option<Instant>,
     /// Whether a plan was read.
-    pub any_plan: bool,
+    pub has_plan: bool,
     /// Since when every plan was read: a stream that is read for the first time, or from which
     /// records expired unread, may have held others.
-    pub complete: Option<Instant>,
+    pub complete_since: Option<Instant>,
     /// Engines that plans of the last [`REMEMBERED`] named.
-    pub named: Vec<Named>,
+    pub planned_engines: Vec<Named>,
     /// The names of the entries that live, in order.
     pub entries: Vec<CompactString>,
 }
@@ -71,16 +71,16 @@
     /// The engine.
     pub engine: TargetId,
     /// The entry that planned.
-    pub holder: CompactString,
+    pub planner: CompactString,
     /// When the plan was read.
-    pub at: Instant,
+    pub read_at: Instant,
 }
 
 /// For how long it is remembered which engines a plan named: longer than anybody may order them.
 const REMEMBERED: Duration = Duration::from_secs(15);
 
 /// Tells the others that this entry lives, and that it stops.
-pub async fn tell(
+pub async fn publish_heartbeats(
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
     address: SocketAddr,
@@ -91,62 +91,69 @@
         let leaving = stop.is_cancelled();
         let (name, address) = (shared.settings.name.to_string(), address.to_string());
         let link = shared.settings.link.rate;
-        write(&*log, Kind::Heartbeat(Heartbeat { name, leaving, address, link })).await;
+        write(&*log, Kind::Heartbeat(Heartbeat { name, leaving, address, link_rate: link })).await;
         if leaving {
             return;
         }
         tokio::select! {
             () = tokio::time::sleep(HEARTBEAT) => {}
             // What was written lately is lost: who starts now would take itself for alone.
-            () = shared.tail.restored(&mut epoch) => {}
+            () = shared.tail.wait_for_restore(&mut epoch) => {}
             () = stop.cancelled() => {}
         }
     }
 }
 
 /// Tells the others of requests that were running when a target crashed.
-pub async fn suspect(shared: Arc<Shared>, log: Arc<dyn KeyedLog>) {
+pub async fn publish_suspects(shared: Arc<Shared>, log: Arc<dyn KeyedLog>) {
     loop {
         tokio::time::sleep(SUSPICIONS).await;
         let requests = shared.suspects.take_news(MAX_SUSPICIONS);
         if !requests.is_empty() {
             let entry = shared.settings.name.to_string();
-            write(&*log, Kind::Suspects(Suspects { entry, requests })).await;
+            write(&*log, Kind::SuspectedRequests(SuspectedRequests { entry, requests })).await;
         }
     }
 }
 
 async fn write(log: &dyn KeyedLog, kind: Kind) {
-    if let Err(error) = log.append(STREAM, vec![notice::record(kind)]).await {
+    if let Err(error) = log.append(STREAM, vec![notice::encode(kind)]).await {
         log::info!(target: "bulletin", error:% = error; "notice not written");
     }
 }
 
-impl Bulletin {
+impl StreamView {
     /// Takes in a plan that was read.
     fn note(&mut self, plan: &Plan, now: Instant) {
-        (self.planned, self.any_plan) = (Some(now), true);
-        let holder = CompactString::from(plan.holder.as_str());
-        let named =
-            plan.changes().map(|(engine, _)| Named { engine, holder: holder.clone(), at: now });
-        self.named.extend(named);
+        (self.last_plan_at, self.has_plan) = (Some(now), true);
+        let holder = CompactString::from(plan.planner.as_str());
+        let named = plan.changes().map(|(engine, _)| Named {
+            engine,
+            planner: holder.clone(),
+            read_at: now,
+        });
+        self.planned_engines.extend(named);
     }
 
     /// Notes that records may have expired unread.
     fn forget(&mut self) {
-        (self.planned, self.complete) = (None, None);
+        (self.last_plan_at, self.complete_since) = (None, None);
     }
 }
 
 /// Reads what the entries tell for as long as the process lives.
-pub async fn read(shared: Arc<Shared>, log: Arc<dyn KeyedLog>, bulletin: watch::Sender<Bulletin>) {
+pub async fn follow(
+    shared: Arc<Shared>,
+    log: Arc<dyn KeyedLog>,
+    bulletin: watch::Sender<StreamView>,
+) {
     Reader::new(shared, log, bulletin).run().await;
 }
 
 /// Keeps new work away from engines that are about to change within `left`.
-pub fn announce(shared: &Shared, plan: &Plan, left: Duration) {
-    log::info!(target: "stages", holder = plan.holder.as_str(), readers:? = plan.readers,
-        writers:? = plan.writers; "changes announced");
+pub fn expect_changes(shared: &Shared, plan: &Plan, left: Duration) {
+    log::info!(target: "stages", holder = plan.planner.as_str(), readers:? = plan.to_prefill,
+        writers:? = plan.to_decode; "changes announced");
     let (mut fleet, now) = (shared.fleet(), Instant::now());
     for (id, stage) in plan.changes() {
         fleet.expect_stage(id, stage, now, now + left);
--- a/crates/direct/src/exchange/bulletin/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -1,10 +1,10 @@
-//! Reads what the entries tell, and folds it into a [`Bulletin`].
+//! Reads what the entries tell, and folds it into a [`StreamView`].
 
-use super::{Bulletin, MAX_READ, PACE, REMEMBERED, SILENCE, STREAM, WAIT, announce};
+use super::{MAX_READ, PACE, REMEMBERED, SILENCE, STREAM, StreamView, WAIT, expect_changes};
 use crate::cluster::groups::Member;
-use crate::cluster::tail::{self, Topic, Turn};
+use crate::cluster::tail::{self, FollowStep, Topic};
 use crate::exchange::broadcast;
-use crate::exchange::notice::{Heartbeat, Kind, Notice, Plan, Suspects};
+use crate::exchange::notice::{Heartbeat, Kind, Notice, Plan, SuspectedRequests};
 use crate::shared::Shared;
 use crate::targets::target::CHANGE;
 use compact_str::CompactString;
@@ -21,7 +21,7 @@
 pub(super) struct Reader {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    bulletin: watch::Sender<Bulletin>,
+    bulletin: watch::Sender<StreamView>,
     /// Where it goes on.
     next: Offset,
     /// The offset after the last record that changed something.
@@ -67,7 +67,7 @@
     pub(super) fn new(
         shared: Arc<Shared>,
         log: Arc<dyn KeyedLog>,
-        bulletin: watch::Sender<Bulletin>,
+        bulletin: watch::Sender<StreamView>,
     ) -> Self {
         let (heard, reread) = (HashMap::new(), Reread::Nothing);
         Self { shared, log, bulletin, next: 0, news: 0, heard, reread, again: None }
@@ -94,23 +94,23 @@
     }
 
     /// Waits until the stream is to be read, or another entry passes on what it has read.
-    async fn turn(&self) -> Option<tail::Told> {
+    async fn turn(&self) -> Option<tail::RecordSpan> {
         // Nobody can pass on what stands before.
         self.bulletin.borrow().end?;
         tokio::select! {
-            turn = self.shared.tail.turn(Topic::Notices, self.next, self.again) => match turn {
-                Turn::Read(reason) => {
+            turn = self.shared.tail.next_step(Topic::Notices, self.next, self.again) => match turn {
+                FollowStep::Read(reason) => {
                     self.shared.metrics.read(Topic::Notices.name(), reason.name());
                     None
                 }
-                Turn::Take(span) => Some(span),
+                FollowStep::Apply(span) => Some(span),
             },
             () = self.shared.notices.notified() => None,
         }
     }
 
     /// Takes in records that another entry passed on.
-    fn take_span(&mut self, span: tail::Told) {
+    fn take_span(&mut self, span: tail::RecordSpan) {
         (self.next, self.news) = (self.next.max(span.after()), self.news.max(span.after()));
         self.shared.tail.knows(Topic::Notices, self.news);
         let (mut read, now) = (self.bulletin.borrow().clone(), Instant::now());
@@ -130,9 +130,9 @@
         let (now, before) = (Instant::now(), self.news);
         let mut read = self.bulletin.borrow().clone();
         let is_first = read.end.is_none();
-        read.planned.get_or_insert(now);
-        read.complete.get_or_insert(now);
-        read.named.retain(|named| now.duration_since(named.at) < REMEMBERED);
+        read.last_plan_at.get_or_insert(now);
+        read.complete_since.get_or_insert(now);
+        read.planned_engines.retain(|named| now.duration_since(named.read_at) < REMEMBERED);
         let known = self.reread.before(batch.end);
         self.next = self.next.max(batch.oldest);
         let (again, new): (Vec<_>, Vec<_>) =
@@ -158,7 +158,8 @@
         self.end_reread(known);
         if !is_first {
             let (topic, troubled) = (Topic::Notices, false);
-            let span = tail::Told { topic, before, troubled, records: changed };
+            let span =
+                tail::RecordSpan { topic, start: before, log_degraded: troubled, records: changed };
             broadcast::pass_on(&self.shared, &span);
         }
         self.shared.note_read(Topic::Notices, self.news);
@@ -193,7 +194,7 @@
         self.bulletin.send_modify(|read| read.forget());
     }
 
-    fn publish(&self, mut read: Bulletin) {
+    fn publish(&self, mut read: StreamView) {
         read.entries = publish(&self.shared, &self.heard);
         read.end = Some(self.next);
         self.bulletin.send_replace(read);
@@ -202,7 +203,7 @@
 
 /// Takes in a record that may have been read before. Of these only plans matter, and only that they were
 /// made: entries were heard, engines changed and suspicions counted then, and are not once more.
-fn note_again(entry: &Entry, read: &mut Bulletin, now: Instant) {
+fn note_again(entry: &Entry, read: &mut StreamView, now: Instant) {
     if let Ok(Notice { kind: Some(Kind::Plan(plan)) }) = Notice::decode(entry.bytes.clone()) {
         read.note(&plan, now);
     }
@@ -241,12 +242,12 @@
             }
             Some(Kind::Heartbeat(heartbeat)) => hear(heard, heartbeat, now),
             Some(Kind::Plan(plan)) => {
-                if plan.holder != shared.settings.name {
-                    announce(shared, &plan, left(shared, &plan, age));
+                if plan.planner != shared.settings.name {
+                    expect_changes(shared, &plan, left(shared, &plan, age));
                 }
                 Told::Plan(plan)
             }
-            Some(Kind::Suspects(Suspects { entry, requests })) => {
+            Some(Kind::SuspectedRequests(SuspectedRequests { entry, requests })) => {
                 if entry != shared.settings.name {
                     shared.suspects.hear(&requests);
                 }
@@ -259,7 +260,7 @@
 }
 
 fn hear(heard: &mut HashMap<CompactString, Heard>, heartbeat: Heartbeat, now: Instant) -> Told {
-    let Heartbeat { name, address, link, .. } = heartbeat;
+    let Heartbeat { name, address, link_rate: link, .. } = heartbeat;
     let name = CompactString::from(name);
     match address.parse() {
         Ok(address) => {
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -4,7 +4,7 @@
 //! gone, the newest records are read again. What is known stays in force while the log is away.
 
 use crate::border::TargetId;
-use crate::cluster::tail::{Told, Topic, Turn};
+use crate::cluster::tail::{FollowStep, RecordSpan, Topic};
 use crate::config::route::Table;
 use crate::exchange::broadcast;
 use crate::shared::Shared;
@@ -43,7 +43,7 @@
     fn table(&self, value: &[u8]) -> Result<Table, CompactString>;
 
     /// Reads what a target tells.
-    fn sighting(&self, value: &[u8]) -> Result<Sighting, CompactString>;
+    fn target_record(&self, value: &[u8]) -> Result<Sighting, CompactString>;
 }
 
 /// How long a read of the configuration waits for news. A silent connection shows after this time
@@ -76,7 +76,7 @@
     /// What changed.
     Changes(Vec<Record>),
     /// What changed something, passed on by another entry.
-    Told(Told),
+    Told(RecordSpan),
 }
 
 /// A stream that is followed.
@@ -134,9 +134,9 @@
             self.read_up_to(newest.end);
             return Ok(Reading::All(newest.records, newest.end));
         };
-        match self.shared.tail.turn(self.topic, next, self.again).await {
-            Turn::Read(reason) => self.shared.metrics.read(self.topic.name(), reason.name()),
-            Turn::Take(told) => {
+        match self.shared.tail.next_step(self.topic, next, self.again).await {
+            FollowStep::Read(reason) => self.shared.metrics.read(self.topic.name(), reason.name()),
+            FollowStep::Apply(told) => {
                 self.next = Some(told.after().max(next));
                 return Ok(Reading::Told(told));
             }
@@ -196,7 +196,12 @@
         let ours: Vec<_> = records.into_iter().filter(|record| record.key == key).collect();
         if own {
             let troubled = stream.is_troubled(Instant::now());
-            let span = Told { topic: Topic::Config, before: news, troubled, records: ours.clone() };
+            let span = RecordSpan {
+                topic: Topic::Config,
+                start: news,
+                log_degraded: troubled,
+                records: ours.clone(),
+            };
             broadcast::pass_on(&shared, &span);
         }
         let ours = ours.into_iter().rev();
@@ -256,7 +261,7 @@
         let reading = stream.read().await;
         let now = Instant::now();
         let told = match &reading {
-            Reading::Told(told) => Some(told.troubled),
+            Reading::Told(told) => Some(told.log_degraded),
             Reading::All(..) | Reading::Changes(_) => None,
         };
         let disturbed = stream.is_troubled(now) || told == Some(true);
@@ -276,7 +281,7 @@
                 drop(fleet.take_changed());
                 Vec::new()
             }
-            Reading::Changes(records) | Reading::Told(Told { records, .. }) => {
+            Reading::Changes(records) | Reading::Told(RecordSpan { records, .. }) => {
                 let news = news(&*decode, records.clone(), &mut unreadable);
                 let mut fleet = shared.fleet();
                 fleet.apply(news, now, condition);
@@ -291,7 +296,10 @@
         };
         if own {
             let (topic, troubled) = (Topic::Targets, disturbed);
-            broadcast::pass_on(&shared, &Told { topic, before, troubled, records: changed });
+            broadcast::pass_on(
+                &shared,
+                &RecordSpan { topic, start: before, log_degraded: troubled, records: changed },
+            );
         }
         note(&shared, Topic::Targets, newest, own);
         shared.metrics.targets.set(i64::try_from(known).unwrap_or(i64::MAX));
@@ -329,7 +337,7 @@
     let decoded = records.into_iter().map(|record| {
         let id: TargetId = record.key;
         let Some(value) = record.value else { return (record.offset, News::Gone(id)) };
-        let news = match decode.sighting(&value) {
+        let news = match decode.target_record(&value) {
             Ok(sighting) => News::Seen(id, sighting),
             Err(detail) => {
                 let stream = decode.target_stream().into();
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -10,9 +10,9 @@
 //! to coordinate. What a silent entry said expires, and its part is then guessed from the others'.
 
 use crate::cluster::clock;
-use crate::cluster::datagram::{Read, State, TargetStanding, UNIT, Work, short};
-use crate::cluster::question::{Answer, Exchange, Granted, Report, Room, Word};
-use crate::cluster::tail::{self, Seen};
+use crate::cluster::entry_state::{EntryState, Read, TargetStanding, UNIT, Work, short_hash};
+use crate::cluster::messages::{Decision, Envelope, Granted, Payload, Report, Response};
+use crate::cluster::tail::{self, ReadStatus};
 use crate::exchange::broadcast;
 use crate::exchange::coordination;
 use crate::shared::{LONGEST_PAUSE, Shared};
@@ -49,11 +49,11 @@
         let _ = timeout(ALIVE, shared.workload.changed()).await;
         sequence += 1;
         let addresses = shared.peers.turn(shared.tail.reads_for_all(), Instant::now());
-        let (work, reads, loads) = (Some(work(&shared)), reads(&shared), shared.loads.tell());
+        let (work, reads, loads) = (Some(work(&shared)), reads(&shared), shared.loads.snapshot());
         let clock = clock::time_of_day();
         let standings = shared.workload.standings.rows(Instant::now());
         let standings = standings.into_iter().map(standing).collect();
-        let state = State { entry, run, sequence, work, reads, loads, clock, standings };
+        let state = EntryState { entry, run, sequence, work, reads, loads, clock, standings };
         let datagram = Bytes::from(state.encode_to_vec());
         for address in &addresses {
             if let Err(error) = socket.send_to(&datagram, address).await {
@@ -70,11 +70,11 @@
 /// How far this entry has read the log.
 fn reads(shared: &Shared) -> Vec<Read> {
     let topics = (0..).zip(tail::TOPICS);
-    let seen = shared.tail.seen(Instant::now());
+    let seen = shared.tail.read_statuses(Instant::now());
     let reads = seen.into_iter().filter_map(|seen| {
         let (topic, _) = topics.clone().find(|(_, topic)| *topic == seen.topic)?;
         let age_ms = u32::try_from(seen.age.as_millis()).unwrap_or(u32::MAX);
-        Some(Read { topic, news: seen.news, age_ms })
+        Some(Read { topic, news: seen.change_end, age_ms })
     });
     reads.collect()
 }
@@ -87,7 +87,7 @@
         let Some(topic) = topic.copied() else { continue };
         let age = Duration::from_millis(read.age_ms.into());
         shared.observe_epoch(plat::epoch::epoch(read.news), "peer");
-        shared.tail.hear(entry, Seen { topic, news: read.news, age }, now);
+        shared.tail.observe(entry, ReadStatus { topic, change_end: read.news, age }, now);
     }
 }
 
@@ -95,7 +95,7 @@
 fn work(shared: &Shared) -> Work {
     let mut work = Work::default();
     for row in shared.workload.rows() {
-        work.engines.push(short(row.engine));
+        work.engines.push(short_hash(row.engine));
         work.reading.push(u32::try_from(row.reading.div_ceil(UNIT)).unwrap_or(u32::MAX));
         work.streams.push(row.streams);
     }
@@ -124,14 +124,14 @@
 }
 
 fn take(shared: &Shared, datagram: &[u8], from: SocketAddr) -> Result<(), prost::DecodeError> {
-    match Exchange::decode(datagram)?.word {
+    match Envelope::decode(datagram)?.payload {
         Some(word) => take_word(shared, word, from),
-        None => take_state(shared, State::decode(datagram)?),
+        None => take_state(shared, EntryState::decode(datagram)?),
     }
     Ok(())
 }
 
-fn take_state(shared: &Shared, mut state: State) {
+fn take_state(shared: &Shared, mut state: EntryState) {
     let (entry, reads, now) = (state.entry, std::mem::take(&mut state.reads), Instant::now());
     let standings = std::mem::take(&mut state.standings);
     shared.usage.clock.hear(entry, state.clock);
@@ -168,31 +168,31 @@
     }
 }
 
-fn take_word(shared: &Shared, word: Word, from: SocketAddr) {
+fn take_word(shared: &Shared, word: Payload, from: SocketAddr) {
     match word {
-        Word::Ask(_) | Word::Place(_) | Word::Permit(_) => {
-            if let Some(answer) = coordination::answer(shared, &word) {
-                shared.post.send(Word::Answer(answer), from);
+        Payload::PrefillRequest(_) | Payload::DecodeRequest(_) | Payload::PermitRequest(_) => {
+            if let Some(answer) = coordination::respond(shared, &word) {
+                shared.post.send(Payload::Response(answer), from);
             }
         }
-        Word::Answer(answer) => {
+        Payload::Response(answer) => {
             if let Err(answer) = shared.post.deliver(answer) {
                 give_back(shared, &answer, from);
             }
         }
-        Word::Report(report) => coordination::take(shared, &report),
-        Word::Limit(limit) => coordination::hear_limit(shared, &limit),
-        Word::News(news) => broadcast::take(shared, news),
-        Word::Lack(lack) => broadcast::answer(shared, lack, from),
-        Word::Used(used) => shared.usage.hear(used),
-        Word::Billed(billed) => shared.usage.billed(billed, clock::since_boot()),
+        Payload::Report(report) => coordination::apply_report(shared, &report),
+        Payload::TargetLimit(limit) => coordination::observe_limit(shared, &limit),
+        Payload::News(news) => broadcast::take(shared, news),
+        Payload::Lack(lack) => broadcast::answer(shared, lack, from),
+        Payload::UsageCounts(used) => shared.usage.observe(used),
+        Payload::BillingProgress(billed) => shared.usage.billed(billed, clock::since_boot()),
     }
 }
 
 /// Ends a booking that was granted too late for anybody to use it.
-fn give_back(shared: &Shared, answer: &Answer, from: SocketAddr) {
-    let Some(Room::Granted(granted)) = answer.room else { return };
+fn give_back(shared: &Shared, answer: &Response, from: SocketAddr) {
+    let Some(Decision::Granted(granted)) = answer.decision else { return };
     let Granted { engine, .. } = granted;
-    let report = Report { booking: answer.booking, engine, ..Report::default() };
-    shared.post.send(Word::Report(report), from);
+    let report = Report { reservation: answer.reservation, engine, ..Report::default() };
+    shared.post.send(Payload::Report(report), from);
 }
--- a/crates/direct/src/exchange/notice.rs
+++ b/crates/direct/src/exchange/notice.rs
@@ -1,4 +1,4 @@
-//! The records of the entries' stream, see [`crate::exchange::bulletin`].
+//! The records of the entries' stream, see [`crate::exchange::entry_stream`].
 
 use crate::border::TargetId;
 use crate::config::route::Stage;
@@ -25,7 +25,7 @@
     Plan(Plan),
     /// Requests were running when a target crashed.
     #[prost(message, tag = "3")]
-    Suspects(Suspects),
+    SuspectedRequests(SuspectedRequests),
 }
 
 /// An entry tells that it lives.
@@ -43,7 +43,7 @@
     /// The rate of its VM's link in bytes a second, which tells how large the VM is; 0 from one that
     /// does not say.
     #[prost(double, tag = "4")]
-    pub link: f64,
+    pub link_rate: f64,
 }
 
 /// An entry announces changes of stage.
@@ -51,22 +51,22 @@
 pub struct Plan {
     /// Its name.
     #[prost(string, tag = "1")]
-    pub holder: String,
+    pub planner: String,
     /// Engines that are to read prompts.
     #[prost(string, repeated, tag = "2")]
-    pub readers: Vec<String>,
+    pub to_prefill: Vec<String>,
     /// Engines that are to write output.
     #[prost(string, repeated, tag = "3")]
-    pub writers: Vec<String>,
+    pub to_decode: Vec<String>,
     /// When it was made, by the true time of day in microseconds since the start of 1970; 0 if it does
     /// not say.
     #[prost(fixed64, tag = "4")]
-    pub made: u64,
+    pub created_us: u64,
 }
 
 /// Requests that were running when a target crashed.
 #[derive(Clone, PartialEq, Message)]
-pub struct Suspects {
+pub struct SuspectedRequests {
     /// The entry that saw it.
     #[prost(string, tag = "1")]
     pub entry: String,
@@ -78,18 +78,18 @@
 impl Plan {
     /// How old it is at this true time of day, if it says when it was made.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        (self.made != 0).then(|| now.saturating_sub(Duration::from_micros(self.made)))
+        (self.created_us != 0).then(|| now.saturating_sub(Duration::from_micros(self.created_us)))
     }
 
     /// The engines that are to change, with their new stages.
     pub fn changes(&self) -> impl Iterator<Item = (TargetId, Stage)> + '_ {
-        let readers = self.readers.iter().map(|id| (TargetId::from(id), Stage::Prefill));
-        let writers = self.writers.iter().map(|id| (TargetId::from(id), Stage::Decode));
+        let readers = self.to_prefill.iter().map(|id| (TargetId::from(id), Stage::Prefill));
+        let writers = self.to_decode.iter().map(|id| (TargetId::from(id), Stage::Decode));
         readers.chain(writers)
     }
 }
 
 /// A notice as a record.
-pub fn record(kind: Kind) -> Bytes {
+pub fn encode(kind: Kind) -> Bytes {
     Notice { kind: Some(kind) }.encode_to_vec().into()
 }
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -111,7 +111,7 @@
             away: engine.is_away(job.patience(), now),
             changing: engine.is_changing(now),
             handover: engine.handover_excess(Way::In, now),
-            streams: engine.engine.streams() + job.shared.peers.others(engine.key).streams,
+            streams: engine.engine.streams() + job.shared.peers.load_at(engine.key).streams,
             slots: engine.slots,
             near: engine.domain == near,
         };
--- a/crates/direct/src/request/generate/read.rs
+++ b/crates/direct/src/request/generate/read.rs
@@ -100,7 +100,7 @@
     while trace.sendings < READERS {
         let found = find(job, prompt, &wanted, &tried).await;
         if !std::mem::replace(&mut counted, true) {
-            job.shared.loads.ask(&job.service.name, found.unread(prompt));
+            job.shared.loads.record_request(&job.service.name, found.unread(prompt));
         }
         let place = match found {
             Found::Full { .. } if prompt.input <= SHORT_PROMPT => {
@@ -208,12 +208,12 @@
 }
 
 fn reader(job: &Job, engine: &Arc<Target>, prompt: &Prompt) -> Reader {
-    let others = job.shared.peers.others(engine.key);
+    let others = job.shared.peers.load_at(engine.key);
     let streams = engine.engine.streams() + others.streams;
     Reader {
         key: engine.key,
         writes: engine.stage() != Some(Stage::Prefill),
-        waiting: engine.engine.reading() + others.reading,
+        waiting: engine.engine.reading() + others.prefill_tokens,
         kept: engine.engine.kept(&prompt.parts),
         filled: f64::from(streams) / f64::from(engine.slots.max(1)),
         handover: engine.handover_excess(Way::Out, Instant::now()),
--- a/crates/direct/src/request/inquiry.rs
+++ b/crates/direct/src/request/inquiry.rs
@@ -5,9 +5,9 @@
 //! silent one is passed over for [`SILENT`]. A grant that comes when nobody waits for it any more is given
 //! back, see [`crate::cluster::peers`].
 
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
-use crate::cluster::question::{Answer, Room, Word};
+use crate::cluster::messages::{Decision, Payload, Response};
 use crate::exchange::coordination;
 use crate::request::job::Job;
 use crate::shared::Shared;
@@ -32,15 +32,15 @@
     job: &Job,
     group: &Group,
     objective: Duration,
-    make: impl Fn(BookingId) -> Word,
-) -> Option<(Answer, Member)> {
+    make: impl Fn(BookingId) -> Payload,
+) -> Option<(Response, Member)> {
     let post = &job.shared.post;
     let patience = objective.mul_f64(PATIENCE_PART).max(LEAST_PATIENCE);
     for coordinator in &group.coordinators {
-        if post.is_silent(coordinator.key, Instant::now()) {
+        if post.is_unresponsive(coordinator.key, Instant::now()) {
             continue;
         }
-        let booking = post.name();
+        let booking = post.unique_id();
         if let Some(answer) =
             answer(&job.shared, coordinator, booking, make(booking), patience).await
         {
@@ -51,7 +51,7 @@
         }
         log::info!(target: "peers", id = job.id(), coordinator = coordinator.key;
             "coordinator silent");
-        post.silent(coordinator.key, Instant::now() + SILENT);
+        post.mark_unresponsive(coordinator.key, Instant::now() + SILENT);
     }
     None
 }
@@ -60,25 +60,25 @@
     shared: &Shared,
     coordinator: &Member,
     booking: BookingId,
-    question: Word,
+    question: Payload,
     patience: Duration,
-) -> Option<Answer> {
+) -> Option<Response> {
     let Some(address) = coordinator.address else {
-        return coordination::answer(shared, &question);
+        return coordination::respond(shared, &question);
     };
-    let mut waiting = shared.post.expect(booking);
+    let mut waiting = shared.post.expect_response(booking);
     shared.post.send(question, address);
-    timeout(patience, &mut waiting.answer).await.ok()?.ok()
+    timeout(patience, &mut waiting.response).await.ok()?.ok()
 }
 
 /// Whether an answer is of use here: the engine that it names may not be listed yet, or no more.
-fn is_listed(shared: &Shared, answer: &Answer) -> bool {
-    match answer.room {
-        Some(Room::Granted(granted)) => {
+fn is_listed(shared: &Shared, answer: &Response) -> bool {
+    match answer.decision {
+        Some(Decision::Granted(granted)) => {
             let engines = shared.fleet().engines();
-            engines.iter().any(|engine| short(engine.key) == granted.engine)
+            engines.iter().any(|engine| short_hash(engine.key) == granted.engine)
         }
-        Some(Room::Full(_) | Room::Permitted(_)) => true,
+        Some(Decision::Refused(_) | Decision::Permitted(_)) => true,
         None => false,
     }
 }
--- a/crates/direct/src/request/job.rs
+++ b/crates/direct/src/request/job.rs
@@ -1,7 +1,7 @@
 //! One request on its way: what all steps know of it.
 
 use crate::border::{Ask, Sending};
-use crate::cluster::question::Asker;
+use crate::cluster::messages::Requester;
 use crate::cluster::suspects::{Fingerprint, fingerprint};
 use crate::config::customers::Caller;
 use crate::config::route::{Repeat, Route, Service, Table};
@@ -96,8 +96,8 @@
     }
 
     /// Who asks coordinators for it.
-    pub fn asker(&self) -> Asker {
-        Asker { entry: self.shared.key(), rank: self.rank().into() }
+    pub fn asker(&self) -> Requester {
+        Requester { entry: self.shared.key(), priority: self.rank().into() }
     }
 
     /// How long a target that works for others as well may say nothing before it counts as away.
@@ -143,7 +143,7 @@
             if target.still_listens().await {
                 return;
             }
-            let crashes = shared.suspects.crashed(request);
+            let crashes = shared.suspects.record_crash(request);
             log::info!(target: "request", id = id.as_str(), target_id = target.id.as_str(),
                 crashes; "request suspected");
         });
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -3,9 +3,9 @@
 //! Whoever is about to send to such a target asks the coordinators of its group for a permit, unless one
 //! came with the place that was booked there. Without one nothing is sent, and the request goes elsewhere.
 
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups;
-use crate::cluster::question::{AskPermit, Room, TargetLimit, Word};
+use crate::cluster::messages::{Decision, Payload, PermitRequest, TargetLimit};
 use crate::config::route::Stage;
 use crate::exchange::coordination;
 use crate::request::inquiry;
@@ -58,19 +58,28 @@
         return Err(Refused);
     }
     let shared = &job.shared;
-    let (groups, service) = (shared.groups(&target.service), short(policy::hash(&target.service)));
+    let (groups, service) =
+        (shared.groups(&target.service), short_hash(policy::hash(&target.service)));
     let make = |booking| {
-        let (target, limit) = (short(target.key), limit(target, now));
-        Word::Permit(AskPermit { booking, service, target, asker: Some(job.asker()), limit })
+        let (target, limit) = (short_hash(target.key), limit(target, now));
+        Payload::PermitRequest(PermitRequest {
+            reservation: booking,
+            service,
+            target,
+            requester: Some(job.asker()),
+            limit,
+        })
     };
-    let room = match groups::of(&groups, target) {
+    let room = match groups::group_of(&groups, target) {
         Some(group) => inquiry::ask(job, group, job.route.objective, make).await,
         None => None,
     };
-    let (kind, after) = match room.and_then(|(answer, _)| answer.room) {
-        Some(Room::Permitted(_)) => ("given", None),
-        Some(Room::Full(full)) => ("refused", Some(Duration::from_micros(full.after_us))),
-        Some(Room::Granted(_)) | None => ("unanswered", Some(UNANSWERED)),
+    let (kind, after) = match room.and_then(|(answer, _)| answer.decision) {
+        Some(Decision::Permitted(_)) => ("given", None),
+        Some(Decision::Refused(full)) => {
+            ("refused", Some(Duration::from_micros(full.retry_after_us)))
+        }
+        Some(Decision::Granted(_)) | None => ("unanswered", Some(UNANSWERED)),
     };
     shared.metrics.permit(kind);
     let Some(after) = after else { return Ok(()) };
@@ -122,11 +131,11 @@
         limit.unwrap_or_else(|| row(target, None, now.duration_since(sent), Duration::ZERO));
     let groups = shared.groups(&target.service);
     let coordinators =
-        groups::of(&groups, target).into_iter().flat_map(|group| &group.coordinators);
+        groups::group_of(&groups, target).into_iter().flat_map(|group| &group.coordinators);
     for coordinator in coordinators {
         match coordinator.address {
-            Some(address) => shared.post.send(Word::Limit(limit), address),
-            None => coordination::hear_limit(shared, &limit),
+            Some(address) => shared.post.send(Payload::TargetLimit(limit), address),
+            None => coordination::observe_limit(shared, &limit),
         }
     }
 }
@@ -142,10 +151,10 @@
 fn row(target: &Target, rate: Option<f64>, sent: Duration, heard: Duration) -> TargetLimit {
     let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
     TargetLimit {
-        service: short(policy::hash(&target.service)),
-        target: short(target.key),
+        service: short_hash(policy::hash(&target.service)),
+        target: short_hash(target.key),
         rate,
-        sent_ms: ms(sent).saturating_add(1),
-        heard_ms: ms(heard),
+        request_age_ms: ms(sent).saturating_add(1),
+        response_age_ms: ms(heard),
     }
 }
--- a/crates/direct/src/request/places.rs
+++ b/crates/direct/src/request/places.rs
@@ -8,9 +8,9 @@
 //! half as long within a failure domain, and others if its engines are half full. If nobody answers, the
 //! entry chooses by what it knows.
 
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
-use crate::cluster::question::{AskPlace, Room, Word};
+use crate::cluster::messages::{Decision, DecodeRequest, Payload};
 use crate::request::inquiry;
 use crate::request::job::Job;
 use crate::request::permits::Permit;
@@ -49,12 +49,13 @@
     let groups = job.shared.groups(&job.service.name);
     for (at, filled) in order(job, &groups, near).into_iter().zip(FILLED) {
         let group = &groups[at];
-        let make = |booking| Word::Place(ask(job, group, tried, booking, filled));
+        let make = |booking| Payload::DecodeRequest(ask(job, group, tried, booking, filled));
         let (answer, coordinator) = inquiry::ask(job, group, job.route.objective, make).await?;
-        if let Some(Room::Granted(granted)) = answer.room {
-            let engine = group.engines.iter().find(|e| short(e.key) == granted.engine)?.clone();
+        if let Some(Decision::Granted(granted)) = answer.decision {
+            let engine =
+                group.engines.iter().find(|e| short_hash(e.key) == granted.engine)?.clone();
             let reservation =
-                Reservation::new(&job.shared, &engine, answer.booking, coordinator, None);
+                Reservation::new(&job.shared, &engine, answer.reservation, coordinator, None);
             let permit = Permit::of(granted.permit);
             return Some(Place { engine, permit, reservation });
         }
@@ -85,7 +86,7 @@
     tried: &[Arc<Target>],
     booking: BookingId,
     filled: u32,
-) -> AskPlace {
+) -> DecodeRequest {
     let now = tokio::time::Instant::now();
     let away = |engine: &&Arc<Target>| engine.is_away(job.patience(), now);
     let tried = tried.iter().chain(group.engines.iter().filter(away));
@@ -95,14 +96,14 @@
     let output = job.ask.prompt.as_ref().map_or(0, |prompt| prompt.output);
     let lapse = (LEAST_LAPSE + LAPSE_EACH * output).min(MOST_LAPSE);
     let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-    AskPlace {
-        booking,
+    DecodeRequest {
+        reservation: booking,
         group: group.key,
-        service: short(policy::hash(&job.service.name)),
+        service: short_hash(policy::hash(&job.service.name)),
         objective_ms: ms(job.route.objective),
-        avoid: avoid.map(short).collect(),
-        lapse_ms: ms(lapse),
-        filled,
-        asker: Some(job.asker()),
+        avoid: avoid.map(short_hash).collect(),
+        ttl_ms: ms(lapse),
+        max_fill_percent: filled,
+        requester: Some(job.asker()),
     }
 }
--- a/crates/direct/src/request/reservation.rs
+++ b/crates/direct/src/request/reservation.rs
@@ -1,9 +1,9 @@
 //! Bookings at coordinators, and what they are told of engines.
 
 use crate::border::Part;
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
-use crate::cluster::question::{Moved, Parts, Report, Word};
+use crate::cluster::messages::{Parts, Payload, Report, Transfer};
 use crate::exchange::coordination;
 use crate::shared::Shared;
 use crate::targets::target::Target;
@@ -50,8 +50,9 @@
 
     fn end(&mut self, kept: Option<Parts>, failed: bool) {
         self.ended = true;
-        let engine = short(self.engine.key);
-        let report = Report { booking: self.booking, engine, kept, failed, moved: None };
+        let engine = short_hash(self.engine.key);
+        let report =
+            Report { reservation: self.booking, engine, cached: kept, failed, transfer: None };
         let told = self.start.map(|start| tell(&self.shared, &self.engine, start, &report));
         if !told.unwrap_or_default().contains(&self.coordinator) {
             send(&self.shared, &self.coordinator, report);
@@ -70,7 +71,12 @@
 /// Tells those that coordinate an engine that it keeps these parts, though nothing was booked there.
 pub fn keeps(shared: &Shared, engine: &Target, start: Hash, parts: &[Part]) {
     let kept = Some(Parts::new(parts));
-    tell(shared, engine, start, &Report { engine: short(engine.key), kept, ..Report::default() });
+    tell(
+        shared,
+        engine,
+        start,
+        &Report { engine: short_hash(engine.key), cached: kept, ..Report::default() },
+    );
 }
 
 /// Tells those that coordinate either of two engines how long KV cache took from one to the other.
@@ -79,8 +85,8 @@
 /// each engine, so that alone it notices after seconds, and each of many entries does so for itself.
 pub fn moved(shared: &Shared, from: &Target, to: &Target, took: Duration) {
     let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-    let moved = Some(Moved { from: short(from.key), took_us });
-    let report = Report { engine: short(to.key), moved, ..Report::default() };
+    let moved = Some(Transfer { source: short_hash(from.key), duration_us: took_us });
+    let report = Report { engine: short_hash(to.key), transfer: moved, ..Report::default() };
     let groups = shared.groups(&to.service);
     let ends = [from.key, to.key];
     let concerned = |group: &&Group| group.engines.iter().any(|e| ends.contains(&e.key));
@@ -105,7 +111,7 @@
     let listed = |group: &&Group| group.engines.iter().any(|other| other.key == engine.key);
     let own = groups.iter().find(listed);
     let first = order(&groups, start).first().map(|&at| &groups[at]);
-    let first = first.filter(|_| report.kept.is_some());
+    let first = first.filter(|_| report.cached.is_some());
     let mut told: Vec<Member> = Vec::new();
     for coordinator in own.into_iter().chain(first).flat_map(|group| &group.coordinators) {
         if !told.contains(coordinator) {
@@ -126,8 +132,8 @@
 
 fn send(shared: &Shared, coordinator: &Member, report: Report) {
     match coordinator.address {
-        Some(address) => shared.post.send(Word::Report(report), address),
-        None => coordination::take(shared, &report),
+        Some(address) => shared.post.send(Payload::Report(report), address),
+        None => coordination::apply_report(shared, &report),
     }
 }
 
--- a/crates/direct/src/request/reserve.rs
+++ b/crates/direct/src/request/reserve.rs
@@ -3,9 +3,11 @@
 //! others told it of their work, as it would alone.
 
 use crate::border::Prompt;
-use crate::cluster::datagram::short;
+use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
-use crate::cluster::question::{Ask, Full, Granted, Holder, Parts, Room, Word};
+use crate::cluster::messages::{
+    CachedPrefix, Decision, Granted, Parts, Payload, PrefillRequest, Refused,
+};
 use crate::request::inquiry;
 use crate::request::job::Job;
 use crate::request::permits::Permit;
@@ -93,7 +95,7 @@
     wanted: &'a prompts::Prompt,
     tried: &'a [Arc<Target>],
     /// The engine that keeps most of the prompt's start.
-    holder: Option<Holder>,
+    holder: Option<CachedPrefix>,
     /// When some group will have room.
     soonest: Option<Duration>,
     /// Engines of groups for which nobody answered.
@@ -112,44 +114,44 @@
 
 impl Search<'_> {
     async fn ask(&mut self, group: &Group, writers: bool) -> Reply {
-        let make = |booking| Word::Ask(self.question(group, writers, booking));
+        let make = |booking| Payload::PrefillRequest(self.question(group, writers, booking));
         let objective = self.wanted.objective;
         let Some((answer, coordinator)) = inquiry::ask(self.job, group, objective, make).await
         else {
             return Reply::Silence;
         };
-        match answer.room {
-            Some(Room::Granted(granted)) => {
-                match self.booked(&granted, answer.booking, &coordinator) {
+        match answer.decision {
+            Some(Decision::Granted(granted)) => {
+                match self.booked(&granted, answer.reservation, &coordinator) {
                     Some(reserved) => Reply::Booked(reserved),
                     None => Reply::Silence,
                 }
             }
-            Some(Room::Full(full)) => self.full(&full),
-            Some(Room::Permitted(_)) | None => Reply::Silence,
+            Some(Decision::Refused(full)) => self.full(&full),
+            Some(Decision::Permitted(_)) | None => Reply::Silence,
         }
     }
 
-    fn question(&self, group: &Group, writers: bool, booking: BookingId) -> Ask {
+    fn question(&self, group: &Group, writers: bool, booking: BookingId) -> PrefillRequest {
         let now = Instant::now();
         let away = |engine: &&Arc<Target>| engine.is_away(self.job.patience(), now);
         let tried = self.tried.iter().chain(group.engines.iter().filter(away));
         // Who is asked may still list them.
         let leaving = self.job.shared.workload.standings.leaving(now);
         let avoid = tried.map(|engine| engine.key).chain(leaving);
-        Ask {
-            booking,
+        PrefillRequest {
+            reservation: booking,
             group: group.key,
-            service: short(policy::hash(&self.job.service.name)),
-            start: self.wanted.start,
+            service: short_hash(policy::hash(&self.job.service.name)),
+            prefix_hash: self.wanted.start,
             tokens: self.prompt.input,
             objective_ms: u32::try_from(self.wanted.objective.as_millis()).unwrap_or(u32::MAX),
             late: self.wanted.late,
             parts: Some(Parts::new(&self.prompt.parts)),
-            avoid: avoid.map(short).collect(),
-            writers,
-            holder: self.holder,
-            asker: Some(self.job.asker()),
+            avoid: avoid.map(short_hash).collect(),
+            decode_engines: writers,
+            cached_prefix: self.holder,
+            requester: Some(self.job.asker()),
         }
     }
 
@@ -161,7 +163,7 @@
     ) -> Option<Reserved> {
         let shared = &self.job.shared;
         let engines = shared.fleet().engines();
-        let find = |key: u32| engines.iter().find(|engine| short(engine.key) == key).cloned();
+        let find = |key: u32| engines.iter().find(|engine| short_hash(engine.key) == key).cloned();
         // One that is not listed here yet.
         let engine = find(granted.engine)?;
         let start = Some(self.wanted.start);
@@ -172,14 +174,14 @@
         Some(Reserved { engine, fetch, tokens, waiting, permit, reservation })
     }
 
-    fn full(&mut self, full: &Full) -> Reply {
-        let after = Duration::from_micros(full.after_us);
+    fn full(&mut self, full: &Refused) -> Reply {
+        let after = Duration::from_micros(full.retry_after_us);
         self.soonest = Some(self.soonest.map_or(after, |soonest| soonest.min(after)));
-        let kept = |holder: Option<Holder>| holder.map_or(0, |holder| holder.tokens);
-        if kept(full.holder) > kept(self.holder) {
-            self.holder = full.holder;
+        let kept = |holder: Option<CachedPrefix>| holder.map_or(0, |holder| holder.tokens);
+        if kept(full.cached_prefix) > kept(self.holder) {
+            self.holder = full.cached_prefix;
         }
-        Reply::Full { writer: full.writer }
+        Reply::Full { writer: full.decode_engine }
     }
 
     fn end(self) -> Found {
--- a/crates/direct/src/request/serve.rs
+++ b/crates/direct/src/request/serve.rs
@@ -54,7 +54,7 @@
         return answer::refuse(Refusal::Stopping, AT_ONCE);
     }
     job.shared.book_request(&job.service.name);
-    if job.shared.suspects.is_guilty(job.fingerprint) {
+    if job.shared.suspects.is_blocked(job.fingerprint) {
         trace.end(Refusal::Quarantined.name());
         return answer::refuse(Refusal::Quarantined, job.route.timeout);
     }
--- a/crates/direct/src/request/trace.rs
+++ b/crates/direct/src/request/trace.rs
@@ -82,7 +82,7 @@
                 let gap = now - std::mem::replace(last, now);
                 gaps.observe(gap.as_secs_f64());
                 if let Some((service, tokens)) = &self.output {
-                    self.shared.loads.wrote(service, *tokens, gap);
+                    self.shared.loads.record_decode(service, *tokens, gap);
                 }
             }
             None => {
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -4,8 +4,8 @@
 use crate::cluster::coordinator::Coordinator;
 use crate::cluster::groups::{self, Groups};
 use crate::cluster::loads::Loads;
+use crate::cluster::peer_socket::PeerSocket;
 use crate::cluster::peers::Peers;
-use crate::cluster::post::Post;
 use crate::cluster::suspects::Suspects;
 use crate::cluster::tail::{Tail, Topic};
 use crate::cluster::usage::Usage;
@@ -103,7 +103,7 @@
     /// What customers have used.
     pub usage: Usage,
     /// Datagrams about single prompts.
-    pub post: Post,
+    pub post: PeerSocket,
     /// What is asked of engines, and what they do.
     pub loads: Loads,
     /// Who reads the log.
@@ -113,7 +113,7 @@
     /// This entry's work at engines.
     pub workload: Arc<Workload>,
     fleet: Mutex<Fleet>,
-    groups: groups::Map,
+    groups: groups::Cache,
     link: Mutex<link::Link>,
     dial: Mutex<dial::Dial>,
     /// How long callers wait, by route.
@@ -153,13 +153,13 @@
             peers: Peers::default(),
             coordinator: Coordinator::default(),
             usage: Usage::default(),
-            post: Post::new(first),
+            post: PeerSocket::new(first),
             loads: Loads::default(),
             tail: Tail::default(),
             notices: Notify::new(),
             workload: workload.clone(),
             fleet: Mutex::new(Fleet::new(workload)),
-            groups: groups::Map::default(),
+            groups: groups::Cache::default(),
             link,
             dial: Mutex::default(),
             patience: Mutex::default(),
@@ -192,7 +192,7 @@
 
     /// Takes in an epoch of the log, of which `from` says how it is known.
     pub fn observe_epoch(&self, epoch: Epoch, from: &'static str) {
-        let Some(new) = self.tail.hear_epoch(epoch, Instant::now()) else { return };
+        let Some(new) = self.tail.observe_epoch(epoch, Instant::now()) else { return };
         if let Some(before) = new.before {
             log::warn!(target: "store", epoch, before, from; "log came back older");
         }
@@ -201,7 +201,7 @@
 
     /// Notes a read, and tells the others at once if it brought news.
     pub fn note_read(&self, topic: Topic, news: Offset) {
-        if self.tail.read(topic, news, Instant::now()) {
+        if self.tail.record_read(topic, news, Instant::now()) {
             self.workload.change();
         }
     }
@@ -247,7 +247,7 @@
     /// An entry that is gone still counts until its heartbeat is old. Rounded up, one of thirty
     /// halved the queue that the others left to engines for twenty seconds.
     pub fn unheard(&self) -> f64 {
-        let known = f64::from(self.peers.heard()) + 1.0;
+        let known = f64::from(self.peers.reachable_count()) + 1.0;
         (f64::from(self.entries()) / known).max(1.0)
     }
 
@@ -258,7 +258,7 @@
     /// all together try as often as eight would alone. One that hears nobody tries as if it were alone.
     pub fn turn_to_retry(&self) -> Duration {
         const EACH: Duration = Duration::from_millis(60);
-        EACH * self.peers.heard()
+        EACH * self.peers.reachable_count()
     }
 
     /// How many entries share the work, as far as is known.
@@ -290,7 +290,7 @@
 
     /// How prompts are placed at the engines of a service, with the rate learnt so far.
     pub fn prompts(&self, service: &str) -> prompts::Settings {
-        let rate = self.loads.rate(service).unwrap_or(self.settings.prompts.rate);
+        let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prompts.rate);
         let pause = self.table.borrow().as_ref().and_then(|table| table.pause(service));
         let writer_pause = pause.unwrap_or_default() / PAUSES;
         prompts::Settings { rate, writer_pause, ..self.settings.prompts.clone() }
@@ -298,7 +298,7 @@
 
     /// Takes in how long an engine of a service took to read a prompt and what waited before it.
     pub fn sample_reading(&self, service: &str, tokens: u64, took: Duration) {
-        self.loads.read(service, self.settings.prompts.rate, tokens, took);
+        self.loads.record_prefill(service, self.settings.prompts.rate, tokens, took);
     }
 
     /// Whether the caller of a request that waits for `left` from now on has waited longer than the
--- a/crates/direct/tests/loads.rs
+++ b/crates/direct/tests/loads.rs
@@ -1,13 +1,13 @@
 //! What entries learn of engines, and tell each other.
 
-use direct::cluster::datagram::ServiceLoad;
+use direct::cluster::entry_state::ServiceLoad;
 use direct::cluster::loads::Loads;
 use std::time::Duration;
 
 const ASSUMED: f64 = 300_000.0;
 
 fn told(loads: &Loads) -> ServiceLoad {
-    loads.tell()[0]
+    loads.snapshot()[0]
 }
 
 /// Engines are split by what is asked of all entries. One that counted its own callers alone would
@@ -15,18 +15,21 @@
 #[test]
 fn what_is_asked_of_the_others_counts_from_when_they_were_first_heard() {
     let (ours, theirs) = (Loads::default(), Loads::default());
-    ours.ask("s", 1_000);
-    theirs.ask("s", 500_000);
+    ours.record_request("s", 1_000);
+    theirs.record_request("s", 500_000);
     let first = told(&theirs);
-    ours.hear(None, &first);
-    assert_eq!(ours.asked("s"), 1_000, "asked before this entry started");
-    theirs.ask("s", 7_000);
-    ours.hear(Some(&first), &told(&theirs));
-    assert_eq!(ours.asked("s"), 8_000);
+    ours.observe(None, &first);
+    assert_eq!(ours.requested_tokens("s"), 1_000, "asked before this entry started");
+    theirs.record_request("s", 7_000);
+    ours.observe(Some(&first), &told(&theirs));
+    assert_eq!(ours.requested_tokens("s"), 8_000);
     // The other one starts again and counts from 0.
-    ours.hear(None, &ServiceLoad { asked: 50, ..first });
-    ours.hear(Some(&ServiceLoad { asked: 50, ..first }), &ServiceLoad { asked: 80, ..first });
-    assert_eq!(ours.asked("s"), 8_030);
+    ours.observe(None, &ServiceLoad { requested_tokens: 50, ..first });
+    ours.observe(
+        Some(&ServiceLoad { requested_tokens: 50, ..first }),
+        &ServiceLoad { requested_tokens: 80, ..first },
+    );
+    assert_eq!(ours.requested_tokens("s"), 8_030);
 }
 
 /// Processes are killed together and start beside others that went on. Each would let in five times
@@ -35,12 +38,13 @@
 fn an_entry_that_starts_takes_over_what_the_others_have_learnt() {
     let (ours, theirs) = (Loads::default(), Loads::default());
     for _ in 0..40 {
-        theirs.read("s", ASSUMED, 9_000, Duration::from_millis(155));
-        theirs.wrote("s", 50, Duration::from_millis(200));
+        theirs.record_prefill("s", ASSUMED, 9_000, Duration::from_millis(155));
+        theirs.record_decode("s", 50, Duration::from_millis(200));
     }
-    assert!(ours.pace("s", 64).is_none());
-    ours.hear(None, &told(&theirs));
-    let (pace, known) = (ours.pace("s", 64).unwrap(), theirs.pace("s", 64).unwrap());
+    assert!(ours.engine_profile("s", 64).is_none());
+    ours.observe(None, &told(&theirs));
+    let (pace, known) =
+        (ours.engine_profile("s", 64).unwrap(), theirs.engine_profile("s", 64).unwrap());
     assert_eq!(pace, known);
     assert!((50_000.0..70_000.0).contains(&pace.reading), "{pace:?}");
     assert!((0.003..0.005).contains(&pace.step), "{pace:?}");
@@ -50,12 +54,12 @@
 #[test]
 fn each_service_has_a_pace_of_its_own() {
     let loads = Loads::default();
-    loads.ask("slow", 1);
+    loads.record_request("slow", 1);
     for _ in 0..40 {
-        loads.read("fast", ASSUMED, 9_000, Duration::from_millis(35));
-        loads.read("slow", ASSUMED, 9_000, Duration::from_millis(155));
+        loads.record_prefill("fast", ASSUMED, 9_000, Duration::from_millis(35));
+        loads.record_prefill("slow", ASSUMED, 9_000, Duration::from_millis(155));
     }
-    let (fast, slow) = (loads.rate("fast").unwrap(), loads.rate("slow").unwrap());
+    let (fast, slow) = (loads.prefill_rate("fast").unwrap(), loads.prefill_rate("slow").unwrap());
     assert!(fast > 4.0 * slow, "{fast} {slow}");
-    assert_eq!((loads.asked("fast"), loads.asked("slow")), (0, 1));
+    assert_eq!((loads.requested_tokens("fast"), loads.requested_tokens("slow")), (0, 1));
 }
--- a/crates/direct/tests/tail.rs
+++ b/crates/direct/tests/tail.rs
@@ -1,7 +1,7 @@
 //! Who reads the log.
 
 use compact_str::{CompactString, format_compact};
-use direct::cluster::tail::{Reason, Seen, Tail, Told, Topic, Turn};
+use direct::cluster::tail::{FollowStep, ReadReason, ReadStatus, RecordSpan, Tail, Topic};
 use plat::Record;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -18,14 +18,14 @@
     let tail = |name: &CompactString| {
         let tail = Tail::default();
         tail.set_entries(name, &names);
-        tail.read(Topic::Config, next, Instant::now());
+        tail.record_read(Topic::Config, next, Instant::now());
         tail
     };
     // Three of the nine read for all; of four one does not.
     let mut tails = names.iter().map(tail);
-    let told = Seen { topic: Topic::Config, news: next, age: Duration::ZERO };
+    let told = ReadStatus { topic: Topic::Config, change_end: next, age: Duration::ZERO };
     let idle = tails.find(|tail| {
-        tail.hear(PEER, told, Instant::now());
+        tail.observe(PEER, told, Instant::now());
         !tail.should_read(Topic::Config, next, Instant::now())
     });
     idle.expect("six of the nine leave reading to others")
@@ -38,9 +38,9 @@
         let reads = |name: &&CompactString| {
             let tail = Tail::default();
             tail.set_entries(name, &names);
-            tail.read(Topic::Config, 5, Instant::now());
-            let told = Seen { topic: Topic::Config, news: 5, age: Duration::ZERO };
-            tail.hear(PEER, told, Instant::now());
+            tail.record_read(Topic::Config, 5, Instant::now());
+            let told = ReadStatus { topic: Topic::Config, change_end: 5, age: Duration::ZERO };
+            tail.observe(PEER, told, Instant::now());
             tail.should_read(Topic::Config, 5, Instant::now())
         };
         assert_eq!(names.iter().filter(reads).count(), expected, "of {entries}");
@@ -50,8 +50,8 @@
 #[tokio::test(start_paused = true)]
 async fn news_is_read_at_once() {
     let tail = idle(5);
-    let told = Seen { topic: Topic::Config, news: 6, age: Duration::ZERO };
-    tail.hear(PEER, told, Instant::now());
+    let told = ReadStatus { topic: Topic::Config, change_end: 6, age: Duration::ZERO };
+    tail.observe(PEER, told, Instant::now());
     assert!(tail.should_read(Topic::Config, 5, Instant::now()));
     assert!(!tail.should_read(Topic::Config, 6, Instant::now()));
 }
@@ -63,8 +63,9 @@
     let tail = idle(5);
     for _ in 0..20 {
         tokio::time::advance(Duration::from_millis(100)).await;
-        let old = Seen { topic: Topic::Config, news: 5, age: Duration::from_millis(1_400) };
-        tail.hear(PEER, old, Instant::now());
+        let old =
+            ReadStatus { topic: Topic::Config, change_end: 5, age: Duration::from_millis(1_400) };
+        tail.observe(PEER, old, Instant::now());
         assert!(tail.should_read(Topic::Config, 5, Instant::now()));
     }
     tail.forget(PEER);
@@ -76,8 +77,8 @@
     let tail = idle(5);
     for _ in 0..99 {
         tokio::time::advance(Duration::from_millis(100)).await;
-        let told = Seen { topic: Topic::Config, news: 5, age: Duration::ZERO };
-        tail.hear(PEER, told, Instant::now());
+        let told = ReadStatus { topic: Topic::Config, change_end: 5, age: Duration::ZERO };
+        tail.observe(PEER, told, Instant::now());
         assert!(!tail.should_read(Topic::Config, 5, Instant::now()));
     }
     tokio::time::advance(Duration::from_millis(100)).await;
@@ -89,11 +90,14 @@
 #[tokio::test(start_paused = true)]
 async fn while_nobody_reaches_the_log_an_entry_waits_its_turn_to_try_again() {
     let tail = idle(5);
-    let old = Seen { topic: Topic::Config, news: 5, age: Duration::from_millis(1_400) };
-    tail.hear(PEER, old, Instant::now());
+    let old = ReadStatus { topic: Topic::Config, change_end: 5, age: Duration::from_millis(1_400) };
+    tail.observe(PEER, old, Instant::now());
     let began = Instant::now();
     let again = began + Duration::from_secs(4);
-    assert_eq!(reason(tail.turn(Topic::Config, 5, Some(again)).await), Some(Reason::NoneFresh));
+    assert_eq!(
+        reason(tail.next_step(Topic::Config, 5, Some(again)).await),
+        Some(ReadReason::NoFreshPeer)
+    );
     assert!(began.elapsed() >= Duration::from_secs(4), "{:?}", began.elapsed());
 }
 
@@ -105,33 +109,36 @@
     let other = tail.clone();
     tokio::spawn(async move {
         tokio::time::sleep(Duration::from_millis(700)).await;
-        let told = Seen { topic: Topic::Config, news: 6, age: Duration::ZERO };
-        other.hear(PEER, told, Instant::now());
+        let told = ReadStatus { topic: Topic::Config, change_end: 6, age: Duration::ZERO };
+        other.observe(PEER, told, Instant::now());
     });
     let began = Instant::now();
     let again = began + Duration::from_secs(4);
-    assert_eq!(reason(tail.turn(Topic::Config, 5, Some(again)).await), Some(Reason::News));
+    assert_eq!(
+        reason(tail.next_step(Topic::Config, 5, Some(again)).await),
+        Some(ReadReason::NewRecords)
+    );
     assert!(began.elapsed() < Duration::from_millis(900), "{:?}", began.elapsed());
 }
 
-fn reason(turn: Turn) -> Option<Reason> {
+fn reason(turn: FollowStep) -> Option<ReadReason> {
     match turn {
-        Turn::Read(reason) => Some(reason),
-        Turn::Take(_) => None,
+        FollowStep::Read(reason) => Some(reason),
+        FollowStep::Apply(_) => None,
     }
 }
 
 /// Records that changed something, from `before` on.
-fn told(before: u64, offsets: &[u64]) -> Told {
+fn told(before: u64, offsets: &[u64]) -> RecordSpan {
     let record = |offset: &u64| Record { offset: *offset, key: "k".into(), value: None };
     let records = offsets.iter().map(record).collect();
-    Told { topic: Topic::Config, before, troubled: false, records }
+    RecordSpan { topic: Topic::Config, start: before, log_degraded: false, records }
 }
 
 async fn taken(tail: &Tail, next: u64) -> Vec<u64> {
-    match tail.turn(Topic::Config, next, None).await {
-        Turn::Take(told) => told.records.iter().map(|record| record.offset).collect(),
-        Turn::Read(reason) => panic!("it reads: {reason:?}"),
+    match tail.next_step(Topic::Config, next, None).await {
+        FollowStep::Apply(told) => told.records.iter().map(|record| record.offset).collect(),
+        FollowStep::Read(reason) => panic!("it reads: {reason:?}"),
     }
 }
 
@@ -141,7 +148,7 @@
 async fn what_another_passes_on_is_taken_without_a_call() {
     let tail = idle(5);
     // Records 5 and 6 changed nothing.
-    tail.tell(told(5, &[7, 9]));
+    tail.offer(told(5, &[7, 9]));
     assert_eq!(taken(&tail, 5).await, [7, 9]);
     assert!(!tail.should_read(Topic::Config, 10, Instant::now()));
 }
@@ -151,11 +158,11 @@
 #[tokio::test(start_paused = true)]
 async fn what_is_passed_on_is_taken_once_and_in_order() {
     let tail = idle(5);
-    tail.tell(told(10, &[12]));
-    tail.tell(told(5, &[7, 9]));
-    tail.tell(told(5, &[7, 9]));
+    tail.offer(told(10, &[12]));
+    tail.offer(told(5, &[7, 9]));
+    tail.offer(told(5, &[7, 9]));
     assert_eq!(taken(&tail, 5).await, [7, 9, 12], "what follows on it is taken with it");
-    tail.tell(told(5, &[7, 9, 12, 14]));
+    tail.offer(told(5, &[7, 9, 12, 14]));
     assert_eq!(taken(&tail, 13).await, [14], "what is known already is left out");
 }
 
@@ -164,10 +171,10 @@
 #[tokio::test(start_paused = true)]
 async fn what_lacks_something_before_it_is_read_instead() {
     let tail = idle(5);
-    tail.tell(told(8, &[9]));
-    let news = Seen { topic: Topic::Config, news: 10, age: Duration::ZERO };
-    tail.hear(PEER, news, Instant::now());
-    assert_eq!(reason(tail.turn(Topic::Config, 5, None).await), Some(Reason::News));
+    tail.offer(told(8, &[9]));
+    let news = ReadStatus { topic: Topic::Config, change_end: 10, age: Duration::ZERO };
+    tail.observe(PEER, news, Instant::now());
+    assert_eq!(reason(tail.next_step(Topic::Config, 5, None).await), Some(ReadReason::NewRecords));
 }
 
 /// The log comes back older while an entry is busy writing to it, and calls are slow just then. Missed, it would
@@ -175,13 +182,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_log_that_came_back_meanwhile_is_noticed_afterwards() {
     let (tail, mut seen) = (Tail::default(), None);
-    tail.hear_epoch(3, Instant::now());
-    let first = tokio::time::timeout(Duration::from_secs(1), tail.restored(&mut seen)).await;
+    tail.observe_epoch(3, Instant::now());
+    let first =
+        tokio::time::timeout(Duration::from_secs(1), tail.wait_for_restore(&mut seen)).await;
     assert!(first.is_err(), "the first epoch is none that the log came back to");
-    tail.hear_epoch(4, Instant::now());
-    let next = tokio::time::timeout(Duration::from_secs(1), tail.restored(&mut seen)).await;
+    tail.observe_epoch(4, Instant::now());
+    let next = tokio::time::timeout(Duration::from_secs(1), tail.wait_for_restore(&mut seen)).await;
     assert!(next.is_ok());
-    tail.hear_epoch(2, Instant::now());
-    let earlier = tokio::time::timeout(Duration::from_secs(1), tail.restored(&mut seen)).await;
+    tail.observe_epoch(2, Instant::now());
+    let earlier =
+        tokio::time::timeout(Duration::from_secs(1), tail.wait_for_restore(&mut seen)).await;
     assert!(earlier.is_err());
 }
--- a/crates/direct/tests/usage.rs
+++ b/crates/direct/tests/usage.rs
@@ -1,11 +1,11 @@
 //! What an entry remembers of what customers used.
 
-use direct::cluster::question::Used;
+use direct::cluster::messages::UsageCounts;
 use direct::cluster::usage::Usage;
 use std::time::Duration;
 
-fn used(window: u64) -> Used {
-    Used { life: 9, window, customers: vec!["north".into()], counts: vec![3] }
+fn used(window: u64) -> UsageCounts {
+    UsageCounts { incarnation: 9, window, customers: vec!["north".into()], counts: vec![3] }
 }
 
 /// An entry lives for months, with a window each five seconds, and few of them bill. What each of them
@@ -13,14 +13,14 @@
 #[test]
 fn windows_that_are_long_past_are_forgotten() {
     let usage = Usage::default();
-    usage.open(Duration::from_secs(5), 1);
+    usage.start(Duration::from_secs(5), 1);
     usage.count(&"south".into(), Duration::ZERO);
     let present = usage.window_at(usage.clock.now()).expect("windows have a length");
     for window in present - 1_000..=present {
-        usage.hear(used(window));
+        usage.observe(used(window));
     }
-    usage.forget(present);
-    let known = (present - 1_000..=present).filter(|window| !usage.sums(*window).is_empty());
+    usage.prune(present);
+    let known = (present - 1_000..=present).filter(|window| !usage.totals(*window).is_empty());
     assert_eq!(known.count(), 65, "those that may still be billed, and no others");
-    assert_eq!(usage.sums(present).get("north"), Some(&3));
+    assert_eq!(usage.totals(present).get("north"), Some(&3));
 }
