--- a/crates/direct/src/border.rs
+++ b/crates/direct/src/border.rs
@@ -1,6 +1,6 @@
 //! The border towards callers and targets: what their headers say, in the product's own types.
 //!
-//! A deployment's adapter implements [`Border`]. Everything behind it speaks of attempts, deadlines
+//! A deployment's adapter implements [`Codec`]. Everything behind it speaks of attempts, deadlines
 //! and prompts and never sees a header's name.
 
 use crate::config::customers::{Caller, Credential};
@@ -15,12 +15,12 @@
 pub type AttemptId = CompactString;
 
 /// The id of a target. One that starts again has another, or the same and is another life, see
-/// [`Born`].
+/// [`Incarnation`].
 pub type TargetId = CompactString;
 
 /// When a life of a target began, in milliseconds since 1970 by its own clock. It tells its lives
 /// apart; it is never compared with another target's, or with the time here.
-pub type Born = u64;
+pub type Incarnation = u64;
 
 /// The id of one part of a prompt.
 pub type PartId = u64;
@@ -40,18 +40,18 @@
     /// The model's name.
     pub model: CompactString,
     /// Tokens in the prompt.
-    pub input: u32,
+    pub input_tokens: u32,
     /// Tokens of output at most.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// The prompt's parts; the last is the request's own.
     pub parts: Vec<Part>,
 }
 
 /// What a caller says in the head of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Ask {
+pub struct RequestHead {
     /// The id of this sending, if the caller gave one.
-    pub attempt: Option<AttemptId>,
+    pub attempt_id: Option<AttemptId>,
     /// How long the caller waits from now on.
     pub deadline: Option<Duration>,
     /// The prompt, if this is a generation.
@@ -62,7 +62,7 @@
 
 /// KV cache that a target holds for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Handle {
+pub struct KvHandle {
     /// The target that holds it.
     pub holder: SocketAddr,
     /// Its id there.
@@ -78,14 +78,14 @@
     /// Read the prompt and keep its KV cache under a handle.
     Prefill,
     /// Go on from KV cache that was read elsewhere.
-    Decode(Handle),
+    Decode(KvHandle),
 }
 
 /// One sending to one target, as far as headers tell of it.
 #[derive(Debug, Clone, Default)]
-pub struct Sending {
+pub struct AttemptHead {
     /// The caller's id of the sending: an answer that names another belongs elsewhere.
-    pub attempt: Option<AttemptId>,
+    pub attempt_id: Option<AttemptId>,
     /// What is to be done.
     pub step: Step,
     /// The target meant; another one at its address has to refuse.
@@ -93,18 +93,18 @@
     /// How long the target may work.
     pub deadline: Duration,
     /// A target from which this one first copies what it keeps of the prompt.
-    pub fetch: Option<SocketAddr>,
+    pub fetch_from: Option<SocketAddr>,
     /// The last event delivered, when a broken stream goes on at this target.
-    pub after_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// How urgent this is among the target's requests: 0 goes first, 9 last.
-    pub urgency: Option<u8>,
+    pub priority: Option<u8>,
     /// Whose request it is: the target is told the customer, and never the key.
     pub caller: Caller,
 }
 
 /// How busy a target says it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Busy {
+pub struct ReportedLoad {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
@@ -115,13 +115,13 @@
 
 /// What a target says in the head of an answer.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Reply {
+pub struct ResponseHead {
     /// The sending that this answers.
-    pub attempt: Option<AttemptId>,
+    pub attempt_id: Option<AttemptId>,
     /// Whether the target says that it did not and will not run the request.
     pub not_run: bool,
     /// How busy it is.
-    pub busy: Option<Busy>,
+    pub load: Option<ReportedLoad>,
     /// For how long it keeps an idle connection.
     pub keep_alive: Option<Duration>,
     /// What it says of itself.
@@ -149,56 +149,56 @@
     /// The process that orders.
     pub holder: CompactString,
     /// The place of its lease in the log: engines refuse lower ones than they have seen.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// Orders that the engine has to have accepted so far, for this one to count.
     pub expected: u64,
 }
 
 /// An engine's own account of its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Report {
+pub struct EngineReport {
     /// Its stage.
     pub stage: Option<Stage>,
     /// Whether it carries out an order.
-    pub busy: bool,
+    pub order_in_progress: bool,
     /// Orders that it has accepted in this life.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// When this life of it began, if it says so.
-    pub born: Option<Born>,
+    pub incarnation: Option<Incarnation>,
 }
 
 /// Translates between headers or small bodies and the product's types.
-pub trait Border: Send + Sync {
+pub trait Codec: Send + Sync {
     /// Reads the head of a caller's request.
-    fn ask(&self, headers: &HeaderMap) -> Ask;
+    fn decode_request(&self, headers: &HeaderMap) -> RequestHead;
 
     /// Makes the headers of a sending from the caller's.
-    fn sending(&self, headers: &HeaderMap, sending: &Sending) -> HeaderMap;
+    fn attempt_headers(&self, headers: &HeaderMap, sending: &AttemptHead) -> HeaderMap;
 
     /// Reads the head of a target's answer.
-    fn reply(&self, status: StatusCode, headers: &HeaderMap) -> Reply;
+    fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
     /// Removes from a target's answer what concerns only its connection.
-    fn answer(&self, headers: &mut HeaderMap);
+    fn strip_connection_headers(&self, headers: &mut HeaderMap);
 
     /// Reads the answer to [`Step::Prefill`]: the id of the KV cache.
-    fn handle(&self, body: &[u8]) -> Result<CompactString>;
+    fn decode_handle(&self, body: &[u8]) -> Result<CompactString>;
 
     /// The path that frees a handle, for a `DELETE`.
     fn free_path(&self, handle: &str) -> String;
 
     /// The path of the list of what an engine keeps of prompts, for a `GET`.
-    fn kept_path(&self) -> &'static str;
+    fn prefix_cache_path(&self) -> &'static str;
 
     /// Reads that list.
-    fn kept(&self, body: &[u8]) -> Result<Vec<Part>>;
+    fn decode_prefix_cache(&self, body: &[u8]) -> Result<Vec<Part>>;
 
     /// The path of an engine's report, for a `GET`.
     fn report_path(&self) -> &'static str;
 
     /// Reads an engine's report.
-    fn report(&self, body: &[u8]) -> Result<Report>;
+    fn decode_report(&self, body: &[u8]) -> Result<EngineReport>;
 
     /// The path and body of an order, for a `POST`.
-    fn order(&self, order: &StageOrder) -> (&'static str, Vec<u8>);
+    fn encode_order(&self, order: &StageOrder) -> (&'static str, Vec<u8>);
 }
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -1,7 +1,7 @@
 //! Requests that were running when a target crashed.
 
 use crate::config::customers::Customer;
-use crate::content::Content;
+use crate::content::BufferedRequest;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -92,7 +92,7 @@
 
 /// The fingerprint of a request: its path, its body and whose it is, so that no customer can have
 /// another's requests refused.
-pub fn fingerprint(content: &Content, customer: Option<&Arc<Customer>>) -> Fingerprint {
+pub fn fingerprint(content: &BufferedRequest, customer: Option<&Arc<Customer>>) -> Fingerprint {
     let path = xxhash_rust::xxh3::xxh3_64(content.path.to_string().as_bytes());
     let request = policy::mix(path, xxhash_rust::xxh3::xxh3_64(&content.body));
     customer.map_or(request, |customer| policy::mix(request, policy::hash(&customer.name)))
--- a/crates/direct/src/config/customers.rs
+++ b/crates/direct/src/config/customers.rs
@@ -26,16 +26,16 @@
 ///
 /// How long a lookup takes tells nothing of a key: who guesses can't choose the digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Digest([u8; 32]);
+pub struct KeyDigest([u8; 32]);
 
-impl Digest {
+impl KeyDigest {
     /// The digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 }
 
-impl fmt::Debug for Digest {
+impl fmt::Debug for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("Digest(..)")
     }
@@ -48,9 +48,9 @@
     #[default]
     None,
     /// One key.
-    Key(Digest),
+    Key(KeyDigest),
     /// Something that is not one key: several, or another scheme.
-    Unusable,
+    Invalid,
 }
 
 /// A customer as operators configured it.
@@ -59,7 +59,7 @@
     /// Its name.
     pub name: CustomerName,
     /// Its rank, which goes before the route's: 0 is the most urgent.
-    pub rank: Option<u8>,
+    pub priority: Option<u8>,
 }
 
 /// Whose a request is.
@@ -67,9 +67,9 @@
 pub enum Caller {
     /// Nobody asks: no customers are configured.
     #[default]
-    Unasked,
+    Unchecked,
     /// Nobody's: its route is open to all, and it carries no key of a customer.
-    Anybody,
+    Anonymous,
     /// A customer's.
     Customer(Arc<Customer>),
 }
@@ -79,7 +79,7 @@
     pub fn customer(&self) -> Option<&Arc<Customer>> {
         match self {
             Self::Customer(customer) => Some(customer),
-            Self::Unasked | Self::Anybody => None,
+            Self::Unchecked | Self::Anonymous => None,
         }
     }
 }
@@ -87,12 +87,12 @@
 /// The customers of one configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Customers {
-    by_key: HashMap<Digest, Arc<Customer>>,
+    by_key: HashMap<KeyDigest, Arc<Customer>>,
 }
 
 impl Customers {
     /// Adds a customer with its keys.
-    pub fn add(&mut self, customer: Customer, keys: impl IntoIterator<Item = Digest>) {
+    pub fn add(&mut self, customer: Customer, keys: impl IntoIterator<Item = KeyDigest>) {
         let customer = Arc::new(customer);
         for key in keys {
             match self.by_key.entry(key) {
@@ -109,7 +109,7 @@
     }
 
     /// How many keys there are.
-    pub fn keys(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
@@ -117,11 +117,11 @@
     pub fn caller(&self, credential: Credential, open: bool) -> Result<Caller> {
         let customer = match credential {
             Credential::Key(key) => self.by_key.get(&key),
-            Credential::None | Credential::Unusable => None,
+            Credential::None | Credential::Invalid => None,
         };
         match customer {
             Some(customer) => Ok(Caller::Customer(customer.clone())),
-            None if open => Ok(Caller::Anybody),
+            None if open => Ok(Caller::Anonymous),
             None => Err(Unknown),
         }
     }
--- a/crates/direct/src/config/route.rs
+++ b/crates/direct/src/config/route.rs
@@ -17,7 +17,7 @@
 
 /// How often a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// Any number of times.
     Idempotent,
     /// Once at most for each sending by a caller.
@@ -37,7 +37,7 @@
 
 /// A service that takes a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Portion {
+pub struct WeightedService {
     /// Its name.
     pub service: ServiceName,
     /// Its weight among the route's portions.
@@ -54,34 +54,34 @@
     /// The prefix; begins and ends with a slash.
     pub prefix: CompactString,
     /// The services that share its requests; never empty.
-    pub portions: Vec<Portion>,
+    pub services: Vec<WeightedService>,
     /// How often a request may run.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// How long a request may take in all.
     pub timeout: Duration,
     /// Within which time an answer, or its first event, earns its full worth.
     pub objective: Duration,
     /// How long a stream may pause between pieces to count as in time, if operators say so.
-    pub pause: Option<Duration>,
+    pub max_gap: Option<Duration>,
     /// Its rank: 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Targets that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether it needs no customer's key.
-    pub open: bool,
+    pub public: bool,
 }
 
 /// What all engines of a service have in common.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
     /// Tokens that fit in the memory of one.
-    pub memory: u64,
+    pub kv_capacity: u64,
     /// Streams that one writes at once.
-    pub places: u32,
+    pub max_streams: u32,
     /// Tokens in a piece of output, if it is known.
-    pub piece: Option<u32>,
+    pub piece_tokens: Option<u32>,
     /// How long one is out of service to change its stage.
-    pub switch: Duration,
+    pub stage_change_time: Duration,
 }
 
 /// A service.
@@ -90,7 +90,7 @@
     /// Its name.
     pub name: ServiceName,
     /// Connections that one target takes from all processes together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Its engines' figures, if it serves models.
     pub engine: Option<EngineSpec>,
 }
@@ -103,7 +103,7 @@
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// How long a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
@@ -132,8 +132,8 @@
         let mut hosts: HashMap<CompactString, HashMap<CompactString, Arc<Route>>> = HashMap::new();
         let mut pauses: HashMap<ServiceName, Duration> = HashMap::new();
         for route in routes {
-            for portion in route.portions.iter().filter(|_| route.pause.is_some()) {
-                let pause = route.pause.unwrap_or_default();
+            for portion in route.services.iter().filter(|_| route.max_gap.is_some()) {
+                let pause = route.max_gap.unwrap_or_default();
                 let shortest = pauses.entry(portion.service.clone()).or_insert(pause);
                 *shortest = pause.min(*shortest);
             }
@@ -154,14 +154,14 @@
     /// Whose a request on `route` is.
     pub fn caller(&self, route: &Route, credential: Credential) -> customers::Result<Caller> {
         match &self.customers {
-            Some(customers) => customers.caller(credential, route.open),
-            None => Ok(Caller::Unasked),
+            Some(customers) => customers.caller(credential, route.public),
+            None => Ok(Caller::Unchecked),
         }
     }
 
     /// How many keys of customers there are, if requests need one.
-    pub fn keys(&self) -> Option<usize> {
-        self.customers.as_ref().map(Customers::keys)
+    pub fn key_count(&self) -> Option<usize> {
+        self.customers.as_ref().map(Customers::key_count)
     }
 
     /// The route with the longest prefix that begins `path`, among those of `host`.
@@ -189,7 +189,7 @@
     }
 
     /// How many routes there are.
-    pub fn routes(&self) -> usize {
+    pub fn route_count(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
 
@@ -201,16 +201,16 @@
 
 impl Route {
     /// The service for a request that drew `at`, from 0 up to 1.
-    pub fn portion(&self, at: f64) -> &ServiceName {
-        let total: f64 = self.portions.iter().map(|portion| portion.weight).sum();
+    pub fn pick_service(&self, at: f64) -> &ServiceName {
+        let total: f64 = self.services.iter().map(|portion| portion.weight).sum();
         let mut left = at * total;
-        for portion in &self.portions {
+        for portion in &self.services {
             left -= portion.weight;
             if left < 0.0 {
                 return &portion.service;
             }
         }
         // Rounding can leave a hair over; a route has one portion at least.
-        &self.portions[self.portions.len() - 1].service
+        &self.services[self.services.len() - 1].service
     }
 }
--- a/crates/direct/src/content.rs
+++ b/crates/direct/src/content.rs
@@ -5,7 +5,7 @@
 
 /// A caller's request as it is sent on, unchanged but for its headers.
 #[derive(Debug, Clone)]
-pub struct Content {
+pub struct BufferedRequest {
     /// The method.
     pub method: Method,
     /// The path with its query.
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -154,17 +154,17 @@
 
 fn plan_stop(now: Instant, grace: Duration) -> Stop {
     let grace = grace.saturating_sub(LAST);
-    Stop { noticed: now + NOTICE.min(grace / 2), ends: now + grace }
+    Stop { drain_at: now + NOTICE.min(grace / 2), deadline: now + grace }
 }
 
 /// Lets the balancer notice, then the callers' connections end.
 async fn drain(intake: &Intake, ending: &CancellationToken, last: &CancellationToken, stop: Stop) {
     let began = Instant::now();
     log::info!(target: "process", connections = intake.open(); "stopping");
-    tokio::time::sleep_until(stop.noticed).await;
+    tokio::time::sleep_until(stop.drain_at).await;
     ending.cancel();
-    while intake.open() > 0 && Instant::now() < stop.ends {
-        if Instant::now() + DEAF >= stop.ends {
+    while intake.open() > 0 && Instant::now() < stop.deadline {
+        if Instant::now() + DEAF >= stop.deadline {
             last.cancel();
         }
         tokio::time::sleep(LOOK).await;
@@ -190,7 +190,7 @@
         shared.metrics.unknown_names.set(i64::try_from(unknown).unwrap_or(i64::MAX));
         shared.metrics.dropped_lines.set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let now = Instant::now();
-        let standings = shared.workload.standings.counts(now);
+        let standings = shared.workload.availability.counts(now);
         shared.metrics.leaving.set(standings.leaving);
         shared.metrics.paused.set(standings.paused);
         for seen in shared.tail.read_statuses(now) {
--- a/crates/direct/src/durations.rs
+++ b/crates/direct/src/durations.rs
@@ -22,7 +22,7 @@
 
 impl Durations {
     /// Takes in how long a request took.
-    pub fn took(&self, route: &RouteName, took: Duration) {
+    pub fn record(&self, route: &RouteName, took: Duration) {
         let mut means = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         if means.len() >= MAX_ROUTES {
             means.clear();
--- a/crates/direct/src/duty/recall.rs
+++ b/crates/direct/src/duty/recall.rs
@@ -54,17 +54,18 @@
 }
 
 async fn ask(shared: &Shared, engine: &Arc<Target>) {
-    let border = &*shared.border;
+    let codec = &*shared.codec;
     let answer =
-        attempt::call(border, engine, Method::GET, border.kept_path(), Vec::new(), PATIENCE).await;
+        attempt::call(codec, engine, Method::GET, codec.prefix_cache_path(), Vec::new(), PATIENCE)
+            .await;
     let kept = answer.and_then(|(_, _, body)| {
-        border.kept(&body).map_err(|error| compact_str::format_compact!("{error}"))
+        codec.decode_prefix_cache(&body).map_err(|error| compact_str::format_compact!("{error}"))
     });
     match kept {
         Ok(parts) => {
             log::info!(target: "fleet", target_id = engine.id.as_str(), parts = parts.len();
                 "engine told what it keeps");
-            engine.engine.keep(&parts, shared.room(&engine.service));
+            engine.engine.record_cached(&parts, shared.kv_capacity(&engine.service));
         }
         Err(detail) => {
             log::info!(target: "fleet", target_id = engine.id.as_str(), detail = detail.as_str();
--- a/crates/direct/src/duty/stages.rs
+++ b/crates/direct/src/duty/stages.rs
@@ -306,8 +306,8 @@
         engines: &[Engine],
     ) -> Option<(balance::Load, balance::Pool)> {
         let spec = service.engine.as_ref()?;
-        let pace = self.shared.loads.engine_profile(&service.name, spec.places)?;
-        let load = watched.demand.load(&pace, spec.switch + NOTICED);
+        let pace = self.shared.loads.engine_profile(&service.name, spec.max_streams)?;
+        let load = watched.demand.load(&pace, spec.stage_change_time + NOTICED);
         let here = |part| engines.iter().filter(|e| e.present && e.part == part).count();
         let pool = balance::Pool { readers: here(Part::Reads), writers: here(Part::Writes) };
         Some((load, pool))
@@ -343,7 +343,7 @@
     /// it does not have to be `now`.
     fn share(&self, service: &Service, watched: &Watched, now: bool) -> Option<f64> {
         let settings = &self.shared.settings.split;
-        let places = service.engine.as_ref().map_or(1, |engine| engine.places);
+        let places = service.engine.as_ref().map_or(1, |engine| engine.max_streams);
         // A system that starts for the first time has served nobody who could have shown its pace.
         let first = self.shared.settings.first_start && !self.bulletin.borrow().has_plan;
         let guess = (now || first).then(|| split::assumed(places));
@@ -359,9 +359,9 @@
             // One that writes changes once its last stream has ended.
             work: target.in_flight().max(target.engine.streams() + others.streams),
             domain: target.domain_key,
-            present: !target.is_away(silent(stage), now)
-                && !target.is_spent(now)
-                && (stage == Stage::Prefill || !target.is_choked(now)),
+            present: !target.is_unavailable(silent(stage), now)
+                && !target.is_limit_exhausted(now)
+                && (stage == Stage::Prefill || !target.has_transfer_backlog(now)),
         }
     }
 
--- a/crates/direct/src/duty/stages/orders.rs
+++ b/crates/direct/src/duty/stages/orders.rs
@@ -4,7 +4,7 @@
 //! is measured on a clock that also counts suspended time, from before the append.
 
 use super::Planner;
-use crate::border::{Report, StageOrder};
+use crate::border::{EngineReport, StageOrder};
 use crate::cluster::clock::since_boot;
 use crate::cluster::tail::{RecordSpan, Topic};
 use crate::config::route::Stage;
@@ -12,7 +12,7 @@
 use crate::exchange::entry_stream;
 use crate::exchange::notice::{self, Kind, Plan};
 use crate::targets::attempt;
-use crate::targets::target::{CHANGE, Target};
+use crate::targets::target::{STAGE_CHANGE_TIMEOUT, Target};
 use compact_str::CompactString;
 use http::{Method, StatusCode};
 use plat::{Offset, Record};
@@ -64,7 +64,7 @@
                 return;
             }
         };
-        entry_stream::expect_changes(&self.shared, &plan, CHANGE);
+        entry_stream::expect_changes(&self.shared, &plan, STAGE_CHANGE_TIMEOUT);
         let (topic, before) = (Topic::Notices, self.shared.tail.change_end(Topic::Notices));
         let record = Record { offset: fence, key: CompactString::default(), value: Some(record) };
         broadcast::send(
@@ -85,17 +85,19 @@
 
     /// Orders one engine to change, if it still has to.
     async fn order(&self, engine: &Arc<Target>, stage: Stage, fence: Offset) {
-        let border = &*self.shared.border;
+        let codec = &*self.shared.codec;
         let report = match self.report(engine).await {
-            Ok(report) if report.born.is_some() && report.born != engine.born => {
+            Ok(report)
+                if report.incarnation.is_some() && report.incarnation != engine.incarnation =>
+            {
                 // It started again: what the plan knew of it is gone.
-                log::info!(target: "stages", target_id = engine.id.as_str(), born:? = report.born;
+                log::info!(target: "stages", target_id = engine.id.as_str(), born:? = report.incarnation;
                     "order not given: the engine started again");
                 return;
             }
-            Ok(report) if report.stage != Some(stage) && !report.busy => report,
+            Ok(report) if report.stage != Some(stage) && !report.order_in_progress => report,
             Ok(report) => {
-                log::info!(target: "stages", target_id = engine.id.as_str(), busy = report.busy;
+                log::info!(target: "stages", target_id = engine.id.as_str(), busy = report.order_in_progress;
                     "order not needed");
                 return;
             }
@@ -107,9 +109,14 @@
         };
         let holder = self.shared.settings.name.clone();
         // Offsets count from 0, and a fence of 0 could mean none.
-        let order = StageOrder { stage, holder, fence: fence + 1, expected: report.orders };
-        let (path, body) = border.order(&order);
-        let answer = attempt::order(border, engine, path, body, PATIENCE).await;
+        let order = StageOrder {
+            stage,
+            holder,
+            fencing_token: fence + 1,
+            expected: report.accepted_orders,
+        };
+        let (path, body) = codec.encode_order(&order);
+        let answer = attempt::order(codec, engine, path, body, PATIENCE).await;
         let went = match &answer {
             Ok(StatusCode::ACCEPTED) => "accepted",
             Ok(StatusCode::OK) => "holds already",
@@ -121,15 +128,15 @@
         };
         self.shared.metrics.order(went);
         log::info!(target: "stages", target_id = engine.id.as_str(), stage:? = stage,
-            fence = order.fence, expected = order.expected, went, answer:? = answer;
+            fence = order.fencing_token, expected = order.expected, went, answer:? = answer;
             "order given");
     }
 
-    async fn report(&self, engine: &Arc<Target>) -> Result<Report, CompactString> {
-        let border = &*self.shared.border;
-        let path = border.report_path();
+    async fn report(&self, engine: &Arc<Target>) -> Result<EngineReport, CompactString> {
+        let codec = &*self.shared.codec;
+        let path = codec.report_path();
         let (_, _, body) =
-            attempt::call(border, engine, Method::GET, path, Vec::new(), PATIENCE).await?;
-        border.report(&body).map_err(|error| compact_str::format_compact!("{error}"))
+            attempt::call(codec, engine, Method::GET, path, Vec::new(), PATIENCE).await?;
+        codec.decode_report(&body).map_err(|error| compact_str::format_compact!("{error}"))
     }
 }
--- a/crates/direct/src/exchange/coordination.rs
+++ b/crates/direct/src/exchange/coordination.rs
@@ -14,7 +14,7 @@
 use crate::cluster::messages::{Payload, Report, Response};
 use crate::config::route::Service;
 use crate::shared::Shared;
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -55,20 +55,20 @@
     let Some(engine) = engine else { return };
     shared.coordinator.end(engine.key, report.reservation);
     if let Some(kept) = &report.cached {
-        engine.engine.keep(&kept.rows(), room(shared, engine));
+        engine.engine.record_cached(&kept.rows(), room(shared, engine));
     }
     if let Some(moved) = &report.transfer {
         let (now, took) = (Instant::now(), Duration::from_micros(moved.duration_us));
-        engine.handed_over(Way::In, took, now);
+        engine.record_transfer(TransferDirection::In, took, now);
         if let Some(from) = engines.iter().find(|engine| short_hash(engine.key) == moved.source) {
-            from.handed_over(Way::Out, took, now);
+            from.record_transfer(TransferDirection::Out, took, now);
         }
     }
-    if report.failed && !engine.is_away(Duration::MAX, Instant::now()) {
+    if report.failed && !engine.is_unavailable(Duration::MAX, Instant::now()) {
         // One refused connection seen here keeps all entries away from an engine that crashed.
         let engine = engine.clone();
         tokio::spawn(async move {
-            engine.still_listens().await;
+            engine.check_listening().await;
         });
     }
 }
@@ -77,7 +77,7 @@
 /// only about prompts that ask its own groups first, about as large a part as these are of all groups:
 /// what pushes the rest out it does not hear.
 fn room(shared: &Shared, engine: &Target) -> u64 {
-    let memory = shared.room(&engine.service);
+    let memory = shared.kv_capacity(&engine.service);
     let groups = shared.groups(&engine.service);
     let ours = |group: &&Group| group.coordinators.iter().any(|member| member.address.is_none());
     let listed = |group: &Group| group.engines.iter().any(|other| other.key == engine.key);
--- a/crates/direct/src/exchange/coordination/reading.rs
+++ b/crates/direct/src/exchange/coordination/reading.rs
@@ -10,7 +10,7 @@
 };
 use crate::config::route::{Service, Stage};
 use crate::shared::Shared;
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use policy::pacing;
 use policy::prompts::{self, Place, Prompt, Reader};
 use std::sync::Arc;
@@ -103,8 +103,8 @@
         let patience = Duration::from_millis(self.ask.objective_ms.into()) * SILENCE;
         let allowed = |engine: &&Arc<Target>| !self.ask.avoid.contains(&short_hash(engine.key));
         let engines = self.group.engines.iter().filter(allowed);
-        let engines = engines.filter(|engine| !engine.is_changing(self.now));
-        let here = engines.filter(|engine| !engine.is_away(patience, self.now));
+        let engines = engines.filter(|engine| !engine.is_changing_stage(self.now));
+        let here = engines.filter(|engine| !engine.is_unavailable(patience, self.now));
         let new = self.shared.coordinator.is_new(self.group.key, self.now);
         let (permitted, closed): (Vec<_>, Vec<_>) =
             here.map(|engine| (engine, self.permit_after(engine))).partition(|(_, a)| a.is_none());
@@ -118,20 +118,20 @@
         let others = self.shared.peers.load_at(engine.key);
         let streams = engine.engine.streams() + others.streams;
         let granted = self.shared.coordinator.queued_tokens(engine.key, self.now);
-        let told = if new { engine.engine.reading() + others.prefill_tokens } else { 0 };
+        let told = if new { engine.engine.prefill_tokens() + others.prefill_tokens } else { 0 };
         Reader {
             key: engine.key,
             writes: engine.stage() != Some(Stage::Prefill),
             waiting: granted.max(told),
             kept: self.kept(engine),
             filled: f64::from(streams) / f64::from(engine.slots.max(1)),
-            handover: engine.handover_excess(Way::Out, self.now),
+            handover: engine.transfer_excess(TransferDirection::Out, self.now),
             domain: engine.domain_key,
         }
     }
 
     fn kept(&self, engine: &Target) -> u64 {
-        engine.engine.kept(&self.parts)
+        engine.engine.cached_tokens(&self.parts)
     }
 
     /// Places the prompt at one of `able`; the engines that its answer counts are returned with it.
--- a/crates/direct/src/exchange/coordination/writing.rs
+++ b/crates/direct/src/exchange/coordination/writing.rs
@@ -7,7 +7,7 @@
 use crate::cluster::messages::{Decision, DecodeRequest, Granted, Refused, Response};
 use crate::config::route::Stage;
 use crate::shared::Shared;
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use policy::writers::{self, Writer};
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     let rank = ask.requester.unwrap_or_default().ask().rank;
     let able = group.engines.iter().filter(|engine| {
         let allowed = !ask.avoid.contains(&short_hash(engine.key));
-        let able = engine.stage() != Some(Stage::Prefill) && !engine.is_changing(now);
+        let able = engine.stage() != Some(Stage::Prefill) && !engine.is_changing_stage(now);
         let permits = &shared.coordinator.permits;
         allowed && able && permits.look(engine.key, || part(shared, group), rank, now).is_ok()
     });
@@ -73,8 +73,8 @@
     let others = shared.peers.load_at(engine.key).streams;
     let told = if new { engine.engine.streams() + others } else { 0 };
     Writer {
-        away: engine.is_away(objective * SILENCE, now),
-        handover: engine.handover_excess(Way::In, now),
+        away: engine.is_unavailable(objective * SILENCE, now),
+        handover: engine.transfer_excess(TransferDirection::In, now),
         streams: granted.max(told),
         slots: engine.slots,
         ..Writer::default()
--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -156,6 +156,6 @@
         writers:? = plan.to_decode; "changes announced");
     let (mut fleet, now) = (shared.fleet(), Instant::now());
     for (id, stage) in plan.changes() {
-        fleet.expect_stage(id, stage, now, now + left);
+        fleet.expect_stage_change(id, stage, now, now + left);
     }
 }
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -6,7 +6,7 @@
 use crate::exchange::broadcast;
 use crate::exchange::notice::{Heartbeat, Kind, Notice, Plan, SuspectedRequests};
 use crate::shared::Shared;
-use crate::targets::target::CHANGE;
+use crate::targets::target::STAGE_CHANGE_TIMEOUT;
 use compact_str::CompactString;
 use plat::{Batch, Entry, KeyedLog, Offset, Record, epoch};
 use prost::Message;
@@ -84,7 +84,7 @@
                 Err(plat::Error::Gone { oldest, .. }) => self.restart(oldest),
                 Err(error) => {
                     // What was heard stays: while the log is away nobody can be heard.
-                    self.again = Some(Instant::now() + self.shared.turn_to_retry());
+                    self.again = Some(Instant::now() + self.shared.log_retry_delay());
                     log::debug!(target: "bulletin", error:% = error; "notices not read");
                 }
             }
@@ -100,7 +100,7 @@
         tokio::select! {
             turn = self.shared.tail.next_step(Topic::Notices, self.next, self.again) => match turn {
                 FollowStep::Read(reason) => {
-                    self.shared.metrics.read(Topic::Notices.name(), reason.name());
+                    self.shared.metrics.stream_read(Topic::Notices.name(), reason.name());
                     None
                 }
                 FollowStep::Apply(span) => Some(span),
@@ -291,7 +291,7 @@
         Age::New => Some(Duration::ZERO),
         Age::AsTold => plan.age(shared.usage.clock.now()),
     };
-    age.map_or(Duration::ZERO, |age| CHANGE.saturating_sub(age))
+    age.map_or(Duration::ZERO, |age| STAGE_CHANGE_TIMEOUT.saturating_sub(age))
 }
 
 fn publish(shared: &Shared, heard: &HashMap<CompactString, Heard>) -> Vec<CompactString> {
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -8,7 +8,7 @@
 use crate::config::route::Table;
 use crate::exchange::broadcast;
 use crate::shared::Shared;
-use crate::targets::fleet::{Condition, News, Sighting};
+use crate::targets::fleet::{FleetUpdate, LogState, TargetRecord};
 use compact_str::CompactString;
 use plat::{KeyedLog, Offset, Record, StreamName, epoch};
 use std::collections::HashMap;
@@ -43,7 +43,7 @@
     fn table(&self, value: &[u8]) -> Result<Table, CompactString>;
 
     /// Reads what a target tells.
-    fn target_record(&self, value: &[u8]) -> Result<Sighting, CompactString>;
+    fn target_record(&self, value: &[u8]) -> Result<TargetRecord, CompactString>;
 }
 
 /// How long a read of the configuration waits for news. A silent connection shows after this time
@@ -135,7 +135,9 @@
             return Ok(Reading::All(newest.records, newest.end));
         };
         match self.shared.tail.next_step(self.topic, next, self.again).await {
-            FollowStep::Read(reason) => self.shared.metrics.read(self.topic.name(), reason.name()),
+            FollowStep::Read(reason) => {
+                self.shared.metrics.stream_read(self.topic.name(), reason.name())
+            }
             FollowStep::Apply(told) => {
                 self.next = Some(told.after().max(next));
                 return Ok(Reading::Told(told));
@@ -173,7 +175,7 @@
             log::warn!(target: "store", stream = self.name, error:% = error; "log lost");
         }
         tokio::time::sleep(self.pause).await;
-        self.again = Some(now + self.shared.turn_to_retry());
+        self.again = Some(now + self.shared.log_retry_delay());
         self.pause = (self.pause * 2).min(MOST_PAUSE);
     }
 
@@ -245,7 +247,7 @@
     if let Some(old) = old.filter(|old| *old >= table.version) {
         return old == table.version;
     }
-    log::info!(target: "config", version = table.version, offset, routes = table.routes(),
+    log::info!(target: "config", version = table.version, offset, routes = table.route_count(),
         before:? = old; "configuration in force");
     shared.metrics.version.set(i64::try_from(table.version).unwrap_or(i64::MAX));
     shared.table.send_replace(Some(Arc::new(table)));
@@ -266,11 +268,11 @@
         };
         let disturbed = stream.is_troubled(now) || told == Some(true);
         let condition = match (std::mem::take(&mut stream.restored), disturbed) {
-            (true, _) => Condition::Restored,
-            (false, true) => Condition::Troubled,
-            (false, false) => Condition::Calm,
+            (true, _) => LogState::Restored,
+            (false, true) => LogState::Degraded,
+            (false, false) => LogState::Healthy,
         };
-        let before = shared.fleet().news();
+        let before = shared.fleet().change_end();
         let own = told.is_none();
         let changed = match reading {
             Reading::All(records, end) => {
@@ -292,7 +294,7 @@
         let (known, newest) = {
             let fleet = shared.fleet();
             shared.metrics.forget_targets(|id| fleet.get(id).is_some());
-            (fleet.len(), fleet.news())
+            (fleet.len(), fleet.change_end())
         };
         if own {
             let (topic, troubled) = (Topic::Targets, disturbed);
@@ -333,16 +335,16 @@
     decode: &dyn Decode,
     records: Vec<Record>,
     unreadable: &mut Unreadable,
-) -> Vec<(Offset, News)> {
+) -> Vec<(Offset, FleetUpdate)> {
     let decoded = records.into_iter().map(|record| {
         let id: TargetId = record.key;
-        let Some(value) = record.value else { return (record.offset, News::Gone(id)) };
+        let Some(value) = record.value else { return (record.offset, FleetUpdate::Removed(id)) };
         let news = match decode.target_record(&value) {
-            Ok(sighting) => News::Seen(id, sighting),
+            Ok(sighting) => FleetUpdate::Registered(id, sighting),
             Err(detail) => {
                 let stream = decode.target_stream().into();
                 unreadable.tell(Error { stream, key: id.clone(), detail }, record.offset);
-                News::Unreadable(id)
+                FleetUpdate::Unreadable(id)
             }
         };
         (record.offset, news)
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -15,8 +15,8 @@
 use crate::cluster::tail::{self, ReadStatus};
 use crate::exchange::broadcast;
 use crate::exchange::coordination;
-use crate::shared::{LONGEST_PAUSE, Shared};
-use crate::targets::standings::{Row, Said};
+use crate::shared::{MAX_DATAGRAM_INTERVAL, Shared};
+use crate::targets::availability::{Reason, Unavailable};
 use bytes::Bytes;
 use prost::Message;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 use tokio::time::{Instant, timeout};
 
 /// Between two datagrams at least, with up to [`PEERS`] peers; it grows by the square of their number,
-/// so that what an entry sends does not grow with it, up to [`LONGEST_PAUSE`]. An engine reads a prompt
+/// so that what an entry sends does not grow with it, up to [`MAX_DATAGRAM_INTERVAL`]. An engine reads a prompt
 /// in 10 to 30 ms, and each datagram takes processor time of all who get it.
 const PAUSE: Duration = Duration::from_millis(5);
 
@@ -51,7 +51,7 @@
         let addresses = shared.peers.turn(shared.tail.reads_for_all(), Instant::now());
         let (work, reads, loads) = (Some(work(&shared)), reads(&shared), shared.loads.snapshot());
         let clock = clock::time_of_day();
-        let standings = shared.workload.standings.rows(Instant::now());
+        let standings = shared.workload.availability.snapshot(Instant::now());
         let standings = standings.into_iter().map(standing).collect();
         let state = EntryState { entry, run, sequence, work, reads, loads, clock, standings };
         let datagram = Bytes::from(state.encode_to_vec());
@@ -62,8 +62,9 @@
         }
         let peers = u32::try_from(addresses.len()).unwrap_or(u32::MAX);
         let few = peers.div_ceil(PEERS).max(1);
-        let pause = (PAUSE * few * few).min(LONGEST_PAUSE);
-        tokio::time::sleep(pause.max(shared.settings.share_of_link(datagram.len(), peers))).await;
+        let pause = (PAUSE * few * few).min(MAX_DATAGRAM_INTERVAL);
+        tokio::time::sleep(pause.max(shared.settings.datagram_interval(datagram.len(), peers)))
+            .await;
     }
 }
 
@@ -94,9 +95,9 @@
 /// This entry's work at all engines where it has any.
 fn work(shared: &Shared) -> Work {
     let mut work = Work::default();
-    for row in shared.workload.rows() {
+    for row in shared.workload.snapshot() {
         work.engines.push(short_hash(row.engine));
-        work.reading.push(u32::try_from(row.reading.div_ceil(UNIT)).unwrap_or(u32::MAX));
+        work.reading.push(u32::try_from(row.prefill_tokens.div_ceil(UNIT)).unwrap_or(u32::MAX));
         work.streams.push(row.streams);
     }
     work
@@ -141,10 +142,10 @@
     }
 }
 
-fn standing(Row { target, said }: Row) -> TargetStanding {
-    match said {
-        Said::Leaves => TargetStanding { target, leaves: true, pause_ms: 0 },
-        Said::Pauses(span) => {
+fn standing(Unavailable { target, reason }: Unavailable) -> TargetStanding {
+    match reason {
+        Reason::Leaving => TargetStanding { target, leaves: true, pause_ms: 0 },
+        Reason::Paused(span) => {
             let pause_ms = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
             TargetStanding { target, leaves: false, pause_ms }
         }
@@ -159,10 +160,10 @@
 fn take_standings(shared: &Shared, standings: &[TargetStanding], now: Instant) {
     for standing in standings {
         if standing.leaves {
-            shared.workload.standings.depart(standing.target, now);
+            shared.workload.availability.record_leaving(standing.target, now);
         }
         let pause = Duration::from_millis(standing.pause_ms.into()).min(LONGEST_GOSSIPED_PAUSE);
-        if let Some(target) = shared.fleet().life(standing.target).filter(|_| !pause.is_zero()) {
+        if let Some(target) = shared.fleet().by_key(standing.target).filter(|_| !pause.is_zero()) {
             target.note_pause_elsewhere(now + pause);
         }
     }
--- a/crates/direct/src/journal.rs
+++ b/crates/direct/src/journal.rs
@@ -27,7 +27,7 @@
 
 /// How long lines are gathered before they are written. A process that is killed loses no more than
 /// the lines of this time; one that stops waits for it.
-pub const GATHER: Duration = Duration::from_millis(50);
+pub const FLUSH_INTERVAL: Duration = Duration::from_millis(50);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
@@ -38,7 +38,7 @@
 
 /// Writes lines through a bounded queue.
 #[derive(Debug)]
-pub struct Journal {
+pub struct QueuedAppender {
     layout: LogfmtLayout,
     queue: SyncSender<Vec<u8>>,
     spans: Mutex<Spans>,
@@ -54,11 +54,11 @@
 /// Starts logging to standard output; `RUST_LOG` chooses levels by module.
 pub fn start(default: &str) {
     let filter = RustLogFilterBuilder::from_default_env_or(default);
-    let journal = Journal::new(std::io::stdout());
+    let journal = QueuedAppender::new(std::io::stdout());
     logforth::starter_log::builder().dispatch(|d| d.filter(filter.build()).append(journal)).apply();
 }
 
-impl Journal {
+impl QueuedAppender {
     /// A journal that writes to `output` from a thread of its own.
     pub fn new(output: impl Write + Send + 'static) -> Self {
         let (queue, lines) = sync_channel(MAX_WAITING);
@@ -103,7 +103,7 @@
 /// Writes lines in batches: one call a batch, because a call and a wake-up cost more than a line.
 fn write(lines: Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(mut batch) = lines.recv() {
-        std::thread::sleep(GATHER);
+        std::thread::sleep(FLUSH_INTERVAL);
         while let Ok(line) = lines.try_recv() {
             batch.extend_from_slice(&line);
         }
@@ -118,7 +118,7 @@
     }
 }
 
-impl Append for Journal {
+impl Append for QueuedAppender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let event = record.payload_static().unwrap_or("other");
         let warning = record.level() >= logforth::record::Level::Warn;
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! - [`config`]: what the operator decides.
 //! - [`border`] and [`content`]: what callers and targets say, in the product's own types. A deployment's adapter
-//!   implements [`border::Border`], and [`exchange::follow::Decode`] for records.
+//!   implements [`border::Codec`], and [`exchange::follow::Decode`] for records.
 //! - [`targets`]: targets as this entry knows them, and one sending to one of them.
 //! - [`cluster`]: what entries know of each other and of the log, and their messages.
 //! - [`shared`]: the state of one entry.
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -197,7 +197,7 @@
     }
 
     /// Counts a request that ended.
-    pub fn ended(&self, route: &str, outcome: Outcome, took: Duration) {
+    pub fn request_ended(&self, route: &str, outcome: Outcome, took: Duration) {
         let (route, outcome) = (Text::from(route), Text::from(outcome.0));
         self.took.get_or_create(&ByRoute { route: route.clone() }).observe(took.as_secs_f64());
         self.ended.get_or_create(&Ended { route, outcome }).inc();
@@ -214,7 +214,7 @@
     }
 
     /// Counts a sending to a target, and how long it took until the head of the answer.
-    pub fn sending(&self, step: &str, target: &str, went: &'static str, took: Duration) {
+    pub fn attempt(&self, step: &str, target: &str, went: &'static str, took: Duration) {
         self.sendings.get_or_create(&ByKind { kind: went.into() }).inc();
         self.sent.get_or_create(&ByKind { kind: step.into() }).observe(took.as_secs_f64());
         self.answers.get_or_create(&ByTarget { target: target.into(), kind: went.into() }).inc();
@@ -241,7 +241,7 @@
     }
 
     /// Counts a read of a stream by why it is made.
-    pub fn read(&self, stream: &'static str, reason: &'static str) {
+    pub fn stream_read(&self, stream: &'static str, reason: &'static str) {
         self.reads.get_or_create(&ByCall { call: stream.into(), kind: reason.into() }).inc();
     }
 
@@ -252,13 +252,13 @@
     }
 
     /// Counts the tokens of a prompt: those that an engine has to read, and the rest.
-    pub fn prompt(&self, read: u64, kept: u64) {
+    pub fn prompt_tokens(&self, read: u64, kept: u64) {
         self.tokens.get_or_create(&ByKind { kind: "read".into() }).inc_by(read);
         self.tokens.get_or_create(&ByKind { kind: "kept".into() }).inc_by(kept);
     }
 
     /// Counts the tokens of a prompt that was read for an output that no engine wrote.
-    pub fn read_in_vain(&self, tokens: u64) {
+    pub fn wasted_prefill(&self, tokens: u64) {
         self.tokens.get_or_create(&ByKind { kind: "vain".into() }).inc_by(tokens);
     }
 
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -12,7 +12,7 @@
 use crate::request::reservation;
 use crate::request::trace::Trace;
 use crate::request::{permits, plain};
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use http::Response;
 use policy::Hash;
 use policy::signals;
@@ -29,7 +29,7 @@
     let Some(prompt) = job.ask.prompt.clone().filter(|_| staged) else {
         return plain::run(job, trace).await;
     };
-    let piece = job.service.engine.as_ref().and_then(|engine| engine.piece);
+    let piece = job.service.engine.as_ref().and_then(|engine| engine.piece_tokens);
     trace.output = piece.map(|tokens| (job.service.name.clone(), tokens));
     if let Some(back) = until_written(&job, &engines) {
         return job.refuse(&mut trace, Refusal::NoWriter, back);
@@ -50,9 +50,9 @@
 /// back when engines have changed their stage.
 fn until_written(job: &Job, engines: &[Arc<Target>]) -> Option<Duration> {
     let now = Instant::now();
-    let is_here = |engine: &&Arc<Target>| !engine.is_away(job.patience(), now);
+    let is_here = |engine: &&Arc<Target>| !engine.is_unavailable(job.patience(), now);
     let writes = |engine: &Arc<Target>| {
-        let able = !engine.is_changing(now) && !engine.is_choked(now);
+        let able = !engine.is_changing_stage(now) && !engine.has_transfer_backlog(now);
         able && engine.stage() != Some(Stage::Prefill)
     };
     // All seem away to a process that was frozen itself and has not read what they said.
@@ -60,8 +60,10 @@
     if !any_here || engines.iter().filter(is_here).any(writes) {
         return None;
     }
-    let switch = job.service.engine.as_ref().map_or(Duration::ZERO, |engine| engine.switch);
-    let begun = engines.iter().filter_map(|engine| engine.changes_since(Stage::Decode, now)).max();
+    let switch =
+        job.service.engine.as_ref().map_or(Duration::ZERO, |engine| engine.stage_change_time);
+    let begun =
+        engines.iter().filter_map(|engine| engine.stage_change_age(Stage::Decode, now)).max();
     // Without a plan so far, it is still to be noticed.
     let left = begun.map_or(switch + NOTICED, |begun| switch.saturating_sub(begun));
     Some(left + TOLD)
@@ -88,8 +90,8 @@
 
 /// Remembers what the engine keeps of a prompt that it has read or taken, and tells the others.
 fn keep(job: &Job, prompt: &Prompt, engine: &Target) {
-    let room = job.service.engine.as_ref().map_or(0, |spec| spec.memory);
-    engine.engine.keep(&prompt.parts, room);
+    let room = job.service.engine.as_ref().map_or(0, |spec| spec.kv_capacity);
+    engine.engine.record_cached(&prompt.parts, room);
     reservation::keeps(&job.shared, engine, start(prompt), &prompt.parts);
 }
 
@@ -108,9 +110,9 @@
     let untried = untried.filter(|engine| engine.closed_for(now).is_none());
     let ranked = untried.map(|engine| {
         let writer = Writer {
-            away: engine.is_away(job.patience(), now),
-            changing: engine.is_changing(now),
-            handover: engine.handover_excess(Way::In, now),
+            away: engine.is_unavailable(job.patience(), now),
+            changing: engine.is_changing_stage(now),
+            handover: engine.transfer_excess(TransferDirection::In, now),
             streams: engine.engine.streams() + job.shared.peers.load_at(engine.key).streams,
             slots: engine.slots,
             near: engine.domain == near,
--- a/crates/direct/src/request/generate/cache.rs
+++ b/crates/direct/src/request/generate/cache.rs
@@ -1,6 +1,6 @@
 //! KV cache that waits for the engine that writes.
 
-use crate::border::Handle;
+use crate::border::KvHandle;
 use crate::request::job::Job;
 use crate::targets::attempt;
 use crate::targets::target::Target;
@@ -19,13 +19,13 @@
 /// need until it lapses.
 pub(super) struct Cache {
     engine: Arc<Target>,
-    handle: Option<Handle>,
+    handle: Option<KvHandle>,
     job: Arc<Job>,
 }
 
 impl Cache {
     /// The cache that `engine` holds under `handle`.
-    pub(super) fn new(job: &Arc<Job>, engine: &Arc<Target>, handle: Handle) -> Self {
+    pub(super) fn new(job: &Arc<Job>, engine: &Arc<Target>, handle: KvHandle) -> Self {
         Self { engine: engine.clone(), handle: Some(handle), job: job.clone() }
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Its handle, unless it was taken.
-    pub(super) fn handle(&self) -> Option<&Handle> {
+    pub(super) fn handle(&self) -> Option<&KvHandle> {
         self.handle.as_ref()
     }
 
@@ -48,17 +48,19 @@
 impl Drop for Cache {
     fn drop(&mut self) {
         let Some(handle) = self.handle.take() else { return };
-        let tokens = self.job.ask.prompt.as_ref().map_or(0, |prompt| prompt.input);
-        self.job.shared.metrics.read_in_vain(tokens.into());
+        let tokens = self.job.ask.prompt.as_ref().map_or(0, |prompt| prompt.input_tokens);
+        self.job.shared.metrics.wasted_prefill(tokens.into());
         let engine = self.engine.clone();
-        let border = self.job.shared.border.clone();
-        let path = border.free_path(&handle.id);
+        let codec = self.job.shared.codec.clone();
+        let path = codec.free_path(&handle.id);
         tokio::spawn(async move {
-            if let Some(pause) = engine.paused_for(Instant::now()).filter(|pause| *pause < KEPT) {
+            if let Some(pause) =
+                engine.pause_remaining(Instant::now()).filter(|pause| *pause < KEPT)
+            {
                 tokio::time::sleep(pause).await;
             }
             let freed =
-                attempt::call(&*border, &engine, Method::DELETE, &path, Vec::new(), FREE).await;
+                attempt::call(&*codec, &engine, Method::DELETE, &path, Vec::new(), FREE).await;
             if let Err(detail) = freed {
                 log::info!(target: "request", target_id = engine.id.as_str(),
                     detail = detail.as_str(); "cache not freed");
--- a/crates/direct/src/request/generate/read.rs
+++ b/crates/direct/src/request/generate/read.rs
@@ -2,7 +2,7 @@
 
 use super::cache::Cache;
 use super::{keep, start};
-use crate::border::{Handle, Prompt, Sending, Step};
+use crate::border::{AttemptHead, KvHandle, Prompt, Step};
 use crate::config::route::Stage;
 use crate::request::answer::Refusal;
 use crate::request::dispatch;
@@ -12,7 +12,7 @@
 use crate::request::reserve;
 use crate::request::trace::Trace;
 use crate::targets::attempt::{self, Outcome};
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use compact_str::CompactString;
 use http_body_util::BodyExt;
 use policy::prompts::{self, Reader};
@@ -85,8 +85,8 @@
     }
     let read = find_and_read(job, prompt, trace, began).await;
     match &read {
-        Read::Refused(..) => job.shared.give_link_back(once * 2),
-        Read::Placed(Place::There(_) | Place::Anywhere) => job.shared.give_link_back(once),
+        Read::Refused(..) => job.shared.release_link(once * 2),
+        Read::Placed(Place::There(_) | Place::Anywhere) => job.shared.release_link(once),
         Read::Placed(Place::Kept(_)) => {}
     }
     read
@@ -103,7 +103,7 @@
             job.shared.loads.record_request(&job.service.name, found.unread(prompt));
         }
         let place = match found {
-            Found::Full { .. } if prompt.input <= SHORT_PROMPT => {
+            Found::Full { .. } if prompt.input_tokens <= SHORT_PROMPT => {
                 return Read::Placed(Place::Anywhere);
             }
             Found::Full { soonest, .. } => {
@@ -118,10 +118,10 @@
             return Read::Placed(Place::There(place));
         }
         tried.push(place.engine.clone());
-        if place.engine.look(Instant::now()).is_err() {
+        if place.engine.check_open(Instant::now()).is_err() {
             continue;
         }
-        if trace.sendings > 0 && !job.shared.may_send_extra(&job.service.name) {
+        if trace.sendings > 0 && !job.shared.try_book_extra(&job.service.name) {
             return Read::Refused(Refusal::TargetRefused, SHORTLY);
         }
         if let Some(cache) = prefill(job, prompt, place, trace).await {
@@ -145,7 +145,7 @@
     fn unread(&self, prompt: &Prompt) -> u64 {
         match self {
             Self::At(there) => there.tokens,
-            Self::Full { kept, .. } => u64::from(prompt.input).saturating_sub(*kept),
+            Self::Full { kept, .. } => u64::from(prompt.input_tokens).saturating_sub(*kept),
         }
     }
 }
@@ -181,7 +181,7 @@
     let engines = candidates(job, engines, tried);
     let readers: Vec<Reader> = engines.iter().map(|engine| reader(job, engine, prompt)).collect();
     let settings = job.shared.prompts(&job.service.name);
-    match prompts::place(&settings, wanted, &readers, job.shared.unheard()) {
+    match prompts::place(&settings, wanted, &readers, job.shared.load_scale()) {
         prompts::Place::Full(soonest) => {
             let kept = readers.iter().map(|reader| reader.kept).max().unwrap_or_default();
             Found::Full { soonest, kept }
@@ -199,9 +199,10 @@
 fn candidates(job: &Job, engines: &[Arc<Target>], tried: &[Arc<Target>]) -> Vec<Arc<Target>> {
     let now = Instant::now();
     let untried = |engine: &&Arc<Target>| tried.iter().all(|other| other.id != engine.id);
-    let able = |engine: &&Arc<Target>| !engine.is_changing(now) && engine.closed_for(now).is_none();
+    let able =
+        |engine: &&Arc<Target>| !engine.is_changing_stage(now) && engine.closed_for(now).is_none();
     let able: Vec<_> = engines.iter().filter(untried).filter(able).cloned().collect();
-    let here = |engine: &&Arc<Target>| !engine.is_away(job.patience(), now);
+    let here = |engine: &&Arc<Target>| !engine.is_unavailable(job.patience(), now);
     let present: Vec<_> = able.iter().filter(here).cloned().collect();
     // All seem away to a process that was frozen itself and has not read what they said.
     if present.is_empty() { able } else { present }
@@ -213,18 +214,19 @@
     Reader {
         key: engine.key,
         writes: engine.stage() != Some(Stage::Prefill),
-        waiting: engine.engine.reading() + others.prefill_tokens,
-        kept: engine.engine.kept(&prompt.parts),
+        waiting: engine.engine.prefill_tokens() + others.prefill_tokens,
+        kept: engine.engine.cached_tokens(&prompt.parts),
         filled: f64::from(streams) / f64::from(engine.slots.max(1)),
-        handover: engine.handover_excess(Way::Out, Instant::now()),
+        handover: engine.transfer_excess(TransferDirection::Out, Instant::now()),
         domain: engine.domain_key,
     }
 }
 
 /// What is wanted of an engine, for a prompt that has `waited` here.
 fn wanted(job: &Job, prompt: &Prompt, waited: Duration) -> prompts::Prompt {
-    let late = job.shared.has_waited(&job.route, job.ask.deadline);
-    let (tokens, objective) = (u64::from(prompt.input), job.route.objective.saturating_sub(waited));
+    let late = job.shared.is_retry(&job.route, job.ask.deadline);
+    let (tokens, objective) =
+        (u64::from(prompt.input_tokens), job.route.objective.saturating_sub(waited));
     prompts::Prompt { start: start(prompt), tokens, objective, late }
 }
 
@@ -237,14 +239,19 @@
 ) -> Option<Cache> {
     let There { engine, fetch, tokens, waiting, permit, reservation } = place;
     let engine = &engine;
-    let _entered = engine.enter();
-    let _reading = engine.engine.read(tokens);
+    let _entered = engine.begin_request();
+    let _reading = engine.engine.begin_prefill(tokens);
     let fetch = fetch.map(|engine| engine.address);
     let settings = &job.shared.settings.prompts;
     let urgency = Some(prompts::urgency(settings, tokens, job.rank()));
-    let kept = u64::from(prompt.input).saturating_sub(tokens);
-    job.shared.metrics.prompt(tokens, kept);
-    let sending = Sending { step: Step::Prefill, fetch, urgency, ..job.sending(engine) };
+    let kept = u64::from(prompt.input_tokens).saturating_sub(tokens);
+    job.shared.metrics.prompt_tokens(tokens, kept);
+    let sending = AttemptHead {
+        step: Step::Prefill,
+        fetch_from: fetch,
+        priority: urgency,
+        ..job.sending(engine)
+    };
     let began = Instant::now();
     let outcome = dispatch::send(job, engine, &sending, permit).await;
     let name = outcome.name();
@@ -255,13 +262,13 @@
         Outcome::Answered(answered) => {
             let success = answered.response.status().is_success();
             let id = handle(job, *answered).await.filter(|_| success)?;
-            job.shared.sample_reading(&job.service.name, waiting + tokens, took);
+            job.shared.record_prefill_time(&job.service.name, waiting + tokens, took);
             has_read(job, prompt, engine, reservation);
-            let handle = Handle { holder: engine.address, id };
+            let handle = KvHandle { holder: engine.address, id };
             return Some(Cache::new(job, engine, handle));
         }
         Outcome::NotRun(_) => job.shared.book_extra(&job.service.name),
-        Outcome::Late | Outcome::Closed(_) => {}
+        Outcome::TimedOut | Outcome::Closed(_) => {}
         Outcome::NotSent(_) => failed(reservation),
         Outcome::Unknown(_) => {
             job.suspect(engine);
@@ -279,7 +286,7 @@
     reservation: Option<Reservation>,
 ) {
     let Some(reservation) = reservation else { return keep(job, prompt, engine) };
-    engine.engine.keep(&prompt.parts, job.shared.room(&job.service.name));
+    engine.engine.record_cached(&prompt.parts, job.shared.kv_capacity(&job.service.name));
     reservation.read(&prompt.parts);
 }
 
@@ -291,7 +298,7 @@
 
 /// Reads the handle from the answer, and keeps the connection.
 async fn handle(job: &Job, answered: attempt::Answered) -> Option<CompactString> {
-    let attempt::Answered { response, reply, connection } = answered;
+    let attempt::Answered { response, head, connection } = answered;
     let body = tokio::time::timeout_at(job.last_word(), response.into_body().collect()).await;
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
@@ -301,8 +308,8 @@
         }
         Err(_) => return None,
     };
-    connection.keep(reply.keep_alive, Instant::now());
-    match job.shared.border.handle(&body) {
+    connection.keep(head.keep_alive, Instant::now());
+    match job.shared.codec.decode_handle(&body) {
         Ok(handle) => Some(handle),
         Err(error) => {
             log::warn!(target: "request", id = job.id(), error:% = error; "handle not readable");
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -1,7 +1,7 @@
 //! Going on with a stream that broke.
 
 use super::writer;
-use crate::border::Sending;
+use crate::border::AttemptHead;
 use crate::request::dispatch;
 use crate::request::job::Job;
 use crate::request::permits::Permit;
@@ -37,16 +37,16 @@
         failed: &Arc<Target>,
     ) -> Pin<Box<dyn Future<Output = Option<Source>> + Send>> {
         let (job, failed) = (self.job.clone(), failed.clone());
-        let allowed = self.sent < job.route.attempts;
+        let allowed = self.sent < job.route.max_attempts;
         Box::pin(async move {
             job.suspect(&failed);
-            if !allowed || !job.shared.may_send_extra(&job.service.name) {
+            if !allowed || !job.shared.try_book_extra(&job.service.name) {
                 return None;
             }
             let mut tried = vec![failed.clone()];
             while tried.len() <= ENGINES {
                 let engine = writer(&job, &tried, &failed.domain)?;
-                let booking = dispatch::book(&engine, Some(engine.engine.write()));
+                let booking = dispatch::book(&engine, Some(engine.engine.begin_stream()));
                 let outcome = resume(&job, &engine, after).await;
                 match outcome {
                     Outcome::Answered(answered) if answered.response.status().is_success() => {
@@ -63,11 +63,11 @@
 
 /// Has an engine go on after an event.
 async fn resume(job: &Job, engine: &Arc<Target>, after: Option<u64>) -> Outcome {
-    let sending = Sending { after_event: after, ..job.sending(engine) };
+    let sending = AttemptHead { last_event_id: after, ..job.sending(engine) };
     let began = Instant::now();
     let outcome = dispatch::send(job, engine, &sending, Permit::Wanted).await;
     let name = outcome.name();
-    job.shared.metrics.sending("resume", &engine.id, name, began.elapsed());
+    job.shared.metrics.attempt("resume", &engine.id, name, began.elapsed());
     log::info!(target: "request", id = job.id(), target_id = engine.id.as_str(),
         after:? = after, went = name; "stream resumed");
     outcome
--- a/crates/direct/src/request/generate/write.rs
+++ b/crates/direct/src/request/generate/write.rs
@@ -3,8 +3,8 @@
 use super::read::{Place, has_read};
 use super::resume::Continuation;
 use super::writer;
-use crate::border::{Prompt, Sending, Step};
-use crate::config::route::Repeat;
+use crate::border::{AttemptHead, Prompt, Step};
+use crate::config::route::RetryPolicy;
 use crate::request::answer::Body;
 use crate::request::dispatch;
 use crate::request::job::Job;
@@ -15,7 +15,7 @@
 use crate::request::trace::Trace;
 use crate::request::tries::Tries;
 use crate::targets::attempt::{Answered, Outcome};
-use crate::targets::target::{Target, Way};
+use crate::targets::target::{Target, TransferDirection};
 use http::Response;
 use std::sync::Arc;
 use std::time::Duration;
@@ -41,7 +41,7 @@
             Outcome::Answered(answered) => return write.relay(answered, booking),
             // The cache may have been taken with it.
             Outcome::Unknown(_) => write.place = Place::Anywhere,
-            Outcome::NotRun(_) | Outcome::NotSent(_) | Outcome::Late | Outcome::Closed(_) => {}
+            Outcome::NotRun(_) | Outcome::NotSent(_) | Outcome::TimedOut | Outcome::Closed(_) => {}
         }
         if !another {
             break;
@@ -96,11 +96,11 @@
             return None;
         }
         let place = places::find(&self.job, tried, self.place.near(&self.job)).await;
-        place.filter(|place| place.engine.look(Instant::now()).is_ok())
+        place.filter(|place| place.engine.check_open(Instant::now()).is_ok())
     }
 
-    fn prepare(&self, engine: &Arc<Target>) -> (Sending, Booking) {
-        let mut booking = dispatch::book(engine, Some(engine.engine.write()));
+    fn prepare(&self, engine: &Arc<Target>) -> (AttemptHead, Booking) {
+        let mut booking = dispatch::book(engine, Some(engine.engine.begin_stream()));
         let mut sending = self.job.sending(engine);
         match &self.place {
             Place::Kept(cache) => {
@@ -109,11 +109,12 @@
                 }
             }
             Place::There(there) => {
-                sending.fetch = there.fetch.as_ref().map(|engine| engine.address);
-                booking.reading = Some(engine.engine.read(there.tokens));
+                sending.fetch_from = there.fetch.as_ref().map(|engine| engine.address);
+                booking.reading = Some(engine.engine.begin_prefill(there.tokens));
             }
             Place::Anywhere => {
-                booking.reading = Some(engine.engine.read(u64::from(self.prompt.input)));
+                booking.reading =
+                    Some(engine.engine.begin_prefill(u64::from(self.prompt.input_tokens)));
             }
         }
         (sending, booking)
@@ -123,19 +124,19 @@
     /// too many others before it.
     fn note_handover(&self, to: &Arc<Target>, outcome: &Outcome, took: Duration) {
         let Place::Kept(cache) = &self.place else { return };
-        if self.prompt.input < LEAST_HANDOVER {
+        if self.prompt.input_tokens < LEAST_HANDOVER {
             return;
         }
         let took = match outcome {
             Outcome::Answered(_) => took,
             Outcome::NotRun(_) => self.job.patience(),
-            Outcome::NotSent(_) | Outcome::Unknown(_) | Outcome::Late | Outcome::Closed(_) => {
+            Outcome::NotSent(_) | Outcome::Unknown(_) | Outcome::TimedOut | Outcome::Closed(_) => {
                 return;
             }
         };
         let now = Instant::now();
-        to.handed_over(Way::In, took, now);
-        cache.holder().handed_over(Way::Out, took, now);
+        to.record_transfer(TransferDirection::In, took, now);
+        cache.holder().record_transfer(TransferDirection::Out, took, now);
         reservation::moved(&self.job.shared, cache.holder(), to, took);
     }
 
@@ -154,7 +155,7 @@
             // Engines answer with the first token.
             self.job.count_run(Instant::now());
         }
-        let resumable = success && self.job.route.repeat == Repeat::Resumable;
+        let resumable = success && self.job.route.retry_policy == RetryPolicy::Resumable;
         let resume = resumable.then(|| Continuation::boxed(&self.job, self.tries.sent));
         dispatch::pass_on(&self.job, Source { answered, booking }, resume, self.trace)
     }
--- a/crates/direct/src/request/intake.rs
+++ b/crates/direct/src/request/intake.rs
@@ -1,7 +1,7 @@
 //! Callers' connections: heads and bodies within limits, answers, and a stop that cuts nothing.
 
 use crate::config::route::Limits;
-use crate::content::Content;
+use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body};
 use crate::request::serve;
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
 const NO_LIMITS: Limits = Limits {
     header_bytes: 16 * 1024,
     body_bytes: 4 * 1024 * 1024,
-    idle_time: Duration::from_secs(15),
+    idle_timeout: Duration::from_secs(15),
 };
 
 /// How much longer than the operators' limit a connection may be idle, so that it is not closed
@@ -99,7 +99,7 @@
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle_time.mul_f64(IDLE_SLACK))
+            .header_read_timeout(limits.idle_timeout.mul_f64(IDLE_SLACK))
             .max_buf_size(limits.header_bytes.max(LEAST_BUFFER));
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
@@ -139,10 +139,13 @@
     response
 }
 
-async fn read(limits: Limits, request: Request<Incoming>) -> Result<Content, Response<Body>> {
+async fn read(
+    limits: Limits,
+    request: Request<Incoming>,
+) -> Result<BufferedRequest, Response<Body>> {
     let (head, body) = request.into_parts();
     let body = Limited::new(body, limits.body_bytes).collect();
-    let body = match tokio::time::timeout(limits.idle_time, body).await {
+    let body = match tokio::time::timeout(limits.idle_timeout, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(answer::own(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
@@ -150,5 +153,5 @@
         Ok(Err(_)) => return Err(answer::own(StatusCode::BAD_REQUEST, "body cut off")),
         Err(_) => return Err(answer::own(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     };
-    Ok(Content { method: head.method, path: head.uri, headers: head.headers, body })
+    Ok(BufferedRequest { method: head.method, path: head.uri, headers: head.headers, body })
 }
--- a/crates/direct/src/request/job.rs
+++ b/crates/direct/src/request/job.rs
@@ -1,11 +1,11 @@
 //! One request on its way: what all steps know of it.
 
-use crate::border::{Ask, Sending};
+use crate::border::{AttemptHead, RequestHead};
 use crate::cluster::messages::Requester;
 use crate::cluster::suspects::{Fingerprint, fingerprint};
 use crate::config::customers::Caller;
-use crate::config::route::{Repeat, Route, Service, Table};
-use crate::content::Content;
+use crate::config::route::{RetryPolicy, Route, Service, Table};
+use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body, Failure, Refusal};
 use crate::request::trace::Trace;
 use crate::shared::Shared;
@@ -22,9 +22,9 @@
     /// What all requests share.
     pub shared: Arc<Shared>,
     /// The request.
-    pub content: Content,
+    pub content: BufferedRequest,
     /// What its headers say.
-    pub ask: Ask,
+    pub ask: RequestHead,
     /// Whose it is.
     pub caller: Caller,
     /// Its route.
@@ -53,14 +53,14 @@
     /// A request on one of the table's routes, dealt to a service; none if the table doesn't have that.
     pub fn new(
         shared: Arc<Shared>,
-        content: Content,
-        ask: Ask,
+        content: BufferedRequest,
+        ask: RequestHead,
         caller: Caller,
         route: Arc<Route>,
         table: &Table,
         arrived: Instant,
     ) -> Option<Self> {
-        let service = table.service(route.portion(shared.random()))?.clone();
+        let service = table.service(route.pick_service(shared.random()))?.clone();
         let patience = ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
         let fingerprint = fingerprint(&content, caller.customer());
         let until = arrived + patience;
@@ -69,15 +69,15 @@
     }
 
     /// What a target is told if it is to do all of the request.
-    pub fn sending(&self, target: &Target) -> Sending {
-        Sending {
-            attempt: self.ask.attempt.clone(),
+    pub fn sending(&self, target: &Target) -> AttemptHead {
+        AttemptHead {
+            attempt_id: self.ask.attempt_id.clone(),
             target: target.id.clone(),
             deadline: self.left(),
             // Plain services know no urgency, and their requests are as they came.
-            urgency: self.service.engine.as_ref().map(|_| self.rank().min(LEAST_URGENT)),
+            priority: self.service.engine.as_ref().map(|_| self.rank().min(LEAST_URGENT)),
             caller: self.caller.clone(),
-            ..Sending::default()
+            ..AttemptHead::default()
         }
     }
 
@@ -91,8 +91,8 @@
 
     /// How urgent it is: as its customer is, or else as its route.
     pub fn rank(&self) -> u8 {
-        let own = self.caller.customer().and_then(|customer| customer.rank);
-        own.unwrap_or(self.route.rank)
+        let own = self.caller.customer().and_then(|customer| customer.priority);
+        own.unwrap_or(self.route.priority)
     }
 
     /// Who asks coordinators for it.
@@ -121,17 +121,17 @@
     pub fn ends_too_late(&self) -> bool {
         let Some(stop) = self.shared.stopping() else { return false };
         let now = Instant::now();
-        if now >= stop.noticed {
-            return self.last_word() > stop.ends;
+        if now >= stop.drain_at {
+            return self.last_word() > stop.deadline;
         }
-        now + self.shared.durations.expected(&self.route.name) > stop.ends
+        now + self.shared.durations.expected(&self.route.name) > stop.deadline
     }
 
     /// Whether it may be sent again after a sending of which the outcome is unknown.
     pub fn may_repeat(&self) -> bool {
-        match self.route.repeat {
-            Repeat::Idempotent | Repeat::Resumable => true,
-            Repeat::Once => false,
+        match self.route.retry_policy {
+            RetryPolicy::Idempotent | RetryPolicy::Resumable => true,
+            RetryPolicy::Once => false,
         }
     }
 
@@ -140,7 +140,7 @@
         let (shared, target) = (self.shared.clone(), target.clone());
         let (request, id) = (self.fingerprint, CompactString::from(self.id()));
         tokio::spawn(async move {
-            if target.still_listens().await {
+            if target.check_listening().await {
                 return;
             }
             let crashes = shared.suspects.record_crash(request);
@@ -151,7 +151,7 @@
 
     /// The caller's id of this sending.
     pub fn id(&self) -> &str {
-        self.ask.attempt.as_deref().unwrap_or_default()
+        self.ask.attempt_id.as_deref().unwrap_or_default()
     }
 
     /// Refuses it: it has not run.
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -122,7 +122,7 @@
     let now = Instant::now();
     let limit = limit(target, now);
     let is_outdated = limit.is_none() && permit == Permit::Held;
-    if !target.is_limit_due(is_outdated, now) {
+    if !target.begin_limit_report(is_outdated, now) {
         return;
     }
     let rate = target.limit();
--- a/crates/direct/src/request/places.rs
+++ b/crates/direct/src/request/places.rs
@@ -88,12 +88,12 @@
     filled: u32,
 ) -> DecodeRequest {
     let now = tokio::time::Instant::now();
-    let away = |engine: &&Arc<Target>| engine.is_away(job.patience(), now);
+    let away = |engine: &&Arc<Target>| engine.is_unavailable(job.patience(), now);
     let tried = tried.iter().chain(group.engines.iter().filter(away));
     // Who is asked may still list them.
-    let leaving = job.shared.workload.standings.leaving(now);
+    let leaving = job.shared.workload.availability.leaving(now);
     let avoid = tried.map(|engine| engine.key).chain(leaving);
-    let output = job.ask.prompt.as_ref().map_or(0, |prompt| prompt.output);
+    let output = job.ask.prompt.as_ref().map_or(0, |prompt| prompt.max_output_tokens);
     let lapse = (LEAST_LAPSE + LAPSE_EACH * output).min(MOST_LAPSE);
     let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
     DecodeRequest {
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -50,7 +50,7 @@
     let untried = untried.filter(|target| target.closed_for(now).is_none());
     let rank = |target: &Arc<Target>| {
         let away = target.domain != job.shared.settings.domain;
-        (target.is_away(job.patience(), now), target.fullness(now), away)
+        (target.is_unavailable(job.patience(), now), target.utilization(now), away)
     };
     // Equal targets are drawn at random, so that entries don't all take the same.
     let drawn = untried.map(|target| (rank(target), job.shared.random(), target));
--- a/crates/direct/src/request/relay.rs
+++ b/crates/direct/src/request/relay.rs
@@ -4,9 +4,9 @@
 use crate::request::reservation::Reservation;
 use crate::request::trace::{COMPLETE, Trace};
 use crate::targets::attempt::Answered;
-use crate::targets::engine::{Reading, Writing};
+use crate::targets::engine::{PrefillGuard, StreamGuard};
 use crate::targets::pool::Connection;
-use crate::targets::target::{Entered, Health, Target};
+use crate::targets::target::{Health, InFlightRequest, Target};
 use bytes::Bytes;
 use compact_str::ToCompactString;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -33,11 +33,11 @@
     /// The target.
     pub target: Arc<Target>,
     /// The request.
-    pub entered: Entered,
+    pub entered: InFlightRequest,
     /// Its prompt, until the first event.
-    pub reading: Option<Reading>,
+    pub reading: Option<PrefillGuard>,
     /// Its stream.
-    pub writing: Option<Writing>,
+    pub writing: Option<StreamGuard>,
     /// Its place, where another entry coordinates the engine.
     pub place: Option<Reservation>,
 }
@@ -167,7 +167,7 @@
         let bytes = frame.into_data().ok()?;
         if let State::Open(open) = &mut self.state {
             open.booking.reading = None;
-            open.booking.target.heard(Instant::now());
+            open.booking.target.record_activity(Instant::now());
         }
         let bytes = match &mut self.events {
             Some(events) => events.take(&bytes),
@@ -203,7 +203,7 @@
             return false;
         };
         let target = open.booking.target.clone();
-        target.judge(Health::Failing, Instant::now());
+        target.record_health(Health::Failing, Instant::now());
         self.trace.broke_off(&target.id, detail);
         let (Some(resume), Some(events)) = (&self.resume, &mut self.events) else { return false };
         events.drop_rest();
@@ -228,9 +228,9 @@
 impl Open {
     fn new(source: Source) -> Self {
         let Source { answered, booking } = source;
-        let Answered { response, reply, connection } = *answered;
+        let Answered { response, head, connection } = *answered;
         let body = response.into_body();
-        Self { body, connection, idle: reply.keep_alive, booking }
+        Self { body, connection, idle: head.keep_alive, booking }
     }
 }
 
--- a/crates/direct/src/request/reserve.rs
+++ b/crates/direct/src/request/reserve.rs
@@ -134,17 +134,17 @@
 
     fn question(&self, group: &Group, writers: bool, booking: BookingId) -> PrefillRequest {
         let now = Instant::now();
-        let away = |engine: &&Arc<Target>| engine.is_away(self.job.patience(), now);
+        let away = |engine: &&Arc<Target>| engine.is_unavailable(self.job.patience(), now);
         let tried = self.tried.iter().chain(group.engines.iter().filter(away));
         // Who is asked may still list them.
-        let leaving = self.job.shared.workload.standings.leaving(now);
+        let leaving = self.job.shared.workload.availability.leaving(now);
         let avoid = tried.map(|engine| engine.key).chain(leaving);
         PrefillRequest {
             reservation: booking,
             group: group.key,
             service: short_hash(policy::hash(&self.job.service.name)),
             prefix_hash: self.wanted.start,
-            tokens: self.prompt.input,
+            tokens: self.prompt.input_tokens,
             objective_ms: u32::try_from(self.wanted.objective.as_millis()).unwrap_or(u32::MAX),
             late: self.wanted.late,
             parts: Some(Parts::new(&self.prompt.parts)),
--- a/crates/direct/src/request/serve.rs
+++ b/crates/direct/src/request/serve.rs
@@ -1,7 +1,7 @@
 //! The way of one request: route, quarantine, then the plain or the engines' way.
 
 use crate::config::customers::Caller;
-use crate::content::Content;
+use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body, Refusal};
 use crate::request::job::Job;
 use crate::request::trace::Trace;
@@ -23,7 +23,11 @@
 const UNAUTHORIZED: &str = "unauthorized";
 
 /// Serves a request whose body has been read.
-pub async fn serve(shared: Arc<Shared>, content: Content, arrived: Instant) -> Response<Body> {
+pub async fn serve(
+    shared: Arc<Shared>,
+    content: BufferedRequest,
+    arrived: Instant,
+) -> Response<Body> {
     let Some(table) = shared.table.borrow().clone() else {
         return answer::refuse(Refusal::NoConfiguration, SOON);
     };
@@ -33,15 +37,15 @@
             "no route");
         return answer::own(StatusCode::NOT_FOUND, "no route");
     };
-    let ask = shared.border.ask(&content.headers);
-    let attempt = ask.attempt.clone().unwrap_or_default();
+    let ask = shared.codec.decode_request(&content.headers);
+    let attempt = ask.attempt_id.clone().unwrap_or_default();
     let version = table.version;
     let mut trace = Trace::new(attempt, route.name.clone(), version, arrived, shared.clone());
     let Ok(caller) = table.caller(&route, ask.credential) else {
         trace.end(UNAUTHORIZED);
         return answer::unauthorized();
     };
-    if matches!(caller, Caller::Customer(_)) && !shared.believes_keys(Instant::now()) {
+    if matches!(caller, Caller::Customer(_)) && !shared.keys_are_fresh(Instant::now()) {
         trace.end(Refusal::KeysUnsure.name());
         return answer::refuse(Refusal::KeysUnsure, AT_ONCE);
     }
--- a/crates/direct/src/request/trace.rs
+++ b/crates/direct/src/request/trace.rs
@@ -61,7 +61,7 @@
 
     /// Notes a sending, how it went and how many milliseconds it took, such as `read:i-1:ok:12`.
     pub fn tried(&mut self, step: &str, target: &str, went: &'static str, took: Duration) {
-        self.shared.metrics.sending(step, target, went, took);
+        self.shared.metrics.attempt(step, target, went, took);
         if !self.targets.is_empty() {
             self.targets.push(',');
         }
@@ -105,9 +105,9 @@
             return;
         }
         let took = self.arrived.elapsed();
-        self.shared.metrics.ended(&self.route, Outcome(outcome), took);
+        self.shared.metrics.request_ended(&self.route, Outcome(outcome), took);
         if outcome == COMPLETE {
-            self.shared.durations.took(&self.route, took);
+            self.shared.durations.record(&self.route, took);
         }
         let first = self.first.map_or(-1.0, |first| (first - self.arrived).as_secs_f64() * 1e3);
         let ms = took.as_secs_f64() * 1e3;
--- a/crates/direct/src/request/tries.rs
+++ b/crates/direct/src/request/tries.rs
@@ -36,13 +36,13 @@
         job: &Job,
         choose: impl FnOnce(&[Arc<Target>]) -> Option<Arc<Target>>,
     ) -> Option<Arc<Target>> {
-        let over = self.sent >= job.route.attempts.max(1) || self.unreachable >= UNREACHABLE;
+        let over = self.sent >= job.route.max_attempts.max(1) || self.unreachable >= UNREACHABLE;
         let over = over || self.closed >= CLOSED;
         if over || Instant::now() >= job.until {
             return None;
         }
         let target = choose(&self.targets)?;
-        if self.sent > 0 && !job.shared.may_send_extra(&job.service.name) {
+        if self.sent > 0 && !job.shared.try_book_extra(&job.service.name) {
             return None;
         }
         self.targets.push(target.clone());
@@ -73,7 +73,7 @@
                 job.suspect(target);
                 job.may_repeat()
             }
-            Outcome::Late => {
+            Outcome::TimedOut => {
                 self.maybe_run = true;
                 false
             }
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -1,6 +1,6 @@
 //! What all requests of an entry share.
 
-use crate::border::Border;
+use crate::border::Codec;
 use crate::cluster::coordinator::Coordinator;
 use crate::cluster::groups::{self, Groups};
 use crate::cluster::loads::Loads;
@@ -49,7 +49,7 @@
     pub first_start: bool,
     /// How old the news of the configuration may be for keys of customers to be believed; `None` if they
     /// are believed however old it is.
-    pub keys_lapse: Option<Duration>,
+    pub keys_max_age: Option<Duration>,
 }
 
 /// The share of an entry's link that its datagrams to the others may take. Some entries have a
@@ -61,25 +61,25 @@
 
 impl Settings {
     /// For how long datagrams of `bytes` bytes to so many peers take up their share of the link.
-    pub fn share_of_link(&self, bytes: usize, peers: u32) -> Duration {
+    pub fn datagram_interval(&self, bytes: usize, peers: u32) -> Duration {
         let bytes = u32::try_from(bytes + DATAGRAM_HEAD).unwrap_or(u32::MAX);
         let bytes = f64::from(bytes) * f64::from(peers);
         let span = Duration::try_from_secs_f64(bytes / (self.link.rate * DATAGRAM_SHARE));
-        span.unwrap_or(LONGEST_PAUSE).min(LONGEST_PAUSE)
+        span.unwrap_or(MAX_DATAGRAM_INTERVAL).min(MAX_DATAGRAM_INTERVAL)
     }
 }
 
 /// Datagrams are no further apart than this, however small the link: others would take the entry
 /// for silent.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(300);
+pub const MAX_DATAGRAM_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How a process stops.
 #[derive(Debug, Clone, Copy)]
 pub struct Stop {
     /// From when on nobody should send it anything, so that it begins only what surely ends.
-    pub noticed: Instant,
+    pub drain_at: Instant,
     /// When it ends at the latest.
-    pub ends: Instant,
+    pub deadline: Instant,
 }
 
 /// The state of an entry.
@@ -87,7 +87,7 @@
     /// Its settings.
     pub settings: Settings,
     /// The vocabulary of callers and targets.
-    pub border: Arc<dyn Border>,
+    pub codec: Arc<dyn Codec>,
     /// The configuration in force; none until one was read.
     pub table: watch::Sender<Option<Arc<Table>>>,
     /// Requests that crashed targets.
@@ -138,14 +138,14 @@
 
 impl Shared {
     /// The state of an entry that has just started.
-    pub fn new(settings: Settings, border: Arc<dyn Border>, seed: u64) -> Self {
+    pub fn new(settings: Settings, codec: Arc<dyn Codec>, seed: u64) -> Self {
         let workload: Arc<Workload> = Arc::default();
         let link = Mutex::new(link::Link::new(settings.link.clone()));
         let run = policy::hash(&format!("{} {:?}", std::process::id(), Instant::now()));
         let first = policy::mix(policy::hash(&settings.name), run);
         Self {
             settings,
-            border,
+            codec,
             table: watch::Sender::new(None),
             suspects: Suspects::default(),
             durations: Durations::default(),
@@ -185,8 +185,8 @@
 
     /// Whether keys of customers can be believed: where it matters, an entry that hears of no changes
     /// serves nobody, since the key may have been taken away.
-    pub fn believes_keys(&self, now: Instant) -> bool {
-        let Some(lapse) = self.settings.keys_lapse else { return true };
+    pub fn keys_are_fresh(&self, now: Instant) -> bool {
+        let Some(lapse) = self.settings.keys_max_age else { return true };
         self.tail.age(Topic::Config, now).is_some_and(|age| age < lapse)
     }
 
@@ -234,11 +234,11 @@
     }
 
     /// Tokens that fit in the memory of one engine of a service.
-    pub fn room(&self, service: &str) -> u64 {
+    pub fn kv_capacity(&self, service: &str) -> u64 {
         let table = self.table.borrow();
         let service = table.as_ref().and_then(|table| table.service(service));
         let engine = service.and_then(|service| service.engine.as_ref());
-        engine.map_or(0, |engine| engine.memory)
+        engine.map_or(0, |engine| engine.kv_capacity)
     }
 
     /// Of how many entries this one knows the work of a single one on average: 1 if it hears all
@@ -246,7 +246,7 @@
     ///
     /// An entry that is gone still counts until its heartbeat is old. Rounded up, one of thirty
     /// halved the queue that the others left to engines for twenty seconds.
-    pub fn unheard(&self) -> f64 {
+    pub fn load_scale(&self) -> f64 {
         let known = f64::from(self.peers.reachable_count()) + 1.0;
         (f64::from(self.entries()) / known).max(1.0)
     }
@@ -256,7 +256,7 @@
     ///
     /// While the log is away none can reach it, and that it is back has to be noticed by one of them:
     /// all together try as often as eight would alone. One that hears nobody tries as if it were alone.
-    pub fn turn_to_retry(&self) -> Duration {
+    pub fn log_retry_delay(&self) -> Duration {
         const EACH: Duration = Duration::from_millis(60);
         EACH * self.peers.reachable_count()
     }
@@ -274,7 +274,8 @@
 
     /// Connections that this entry may have to one target of `service`.
     pub fn connections(&self, service: &Service) -> u32 {
-        let share = f64::from(service.connections) * CONNECTION_SHARE / f64::from(self.entries());
+        let share =
+            f64::from(service.max_connections) * CONNECTION_SHARE / f64::from(self.entries());
         // One at least; casting a positive float to an integer saturates.
         #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "saturates")]
         let share = share as u32;
@@ -297,13 +298,13 @@
     }
 
     /// Takes in how long an engine of a service took to read a prompt and what waited before it.
-    pub fn sample_reading(&self, service: &str, tokens: u64, took: Duration) {
+    pub fn record_prefill_time(&self, service: &str, tokens: u64, took: Duration) {
         self.loads.record_prefill(service, self.settings.prompts.rate, tokens, took);
     }
 
     /// Whether the caller of a request that waits for `left` from now on has waited longer than the
     /// route's objective already.
-    pub fn has_waited(&self, route: &Route, left: Option<Duration>) -> bool {
+    pub fn is_retry(&self, route: &Route, left: Option<Duration>) -> bool {
         let Some(left) = left else { return false };
         let mut patience = self.patience.lock().unwrap_or_else(PoisonError::into_inner);
         if patience.len() >= MAX_ROUTES {
@@ -320,17 +321,17 @@
     }
 
     /// Ends a booking of the link for bytes that are not sent after all.
-    pub fn give_link_back(&self, bytes: u64) {
+    pub fn release_link(&self, bytes: u64) {
         self.link().give_back(bytes);
     }
 
     /// How long a connection to a target is waited for.
-    pub fn connect_patience(&self, target: &Target) -> Duration {
+    pub fn connect_timeout(&self, target: &Target) -> Duration {
         self.dial().patience(target.domain_key, self.started.elapsed())
     }
 
     /// Takes in how long it took to open a connection to a target.
-    pub fn connected(&self, target: &Target, took: Duration) {
+    pub fn record_connect_time(&self, target: &Target, took: Duration) {
         self.dial().sample(target.domain_key, took, self.started.elapsed());
     }
 
@@ -360,7 +361,7 @@
 
     /// Books an extra sending if there may be one.
     #[must_use]
-    pub fn may_send_extra(&self, service: &str) -> bool {
+    pub fn try_book_extra(&self, service: &str) -> bool {
         let entries = self.entries();
         let allowed = self.with_window(service, |window, now| window.spend(entries, now));
         self.metrics.extra(allowed);
--- a/crates/direct/src/story.rs
+++ b/crates/direct/src/story.rs
@@ -45,7 +45,7 @@
 }
 
 /// What the processes came to believe from `from` to `to`, both as the log writes times, in order.
-pub fn beliefs(from: &str, to: &str, sources: &[Source<'_>]) -> Vec<String> {
+pub fn state_changes(from: &str, to: &str, sources: &[Source<'_>]) -> Vec<String> {
     let all = sources.iter().flat_map(|source| lines(*source));
     let span = all.filter(|line| line.time >= from && line.time <= to);
     let mut changes: Vec<_> = span.filter(|line| is_belief(line.text)).collect();
--- a/crates/direct/src/targets.rs
+++ b/crates/direct/src/targets.rs
@@ -2,9 +2,9 @@
 //! sending to one of them.
 
 pub mod attempt;
+pub mod availability;
 pub mod engine;
 pub mod fleet;
 pub mod pool;
-pub mod standings;
 pub mod target;
 pub mod workload;
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -1,7 +1,7 @@
 //! One sending of a request to one target, and what can be said of it afterwards.
 
-use crate::border::{Border, Reply, Sending};
-use crate::content::Content;
+use crate::border::{AttemptHead, Codec, ResponseHead};
+use crate::content::BufferedRequest;
 use crate::targets::pool::{self, Connection};
 use crate::targets::target::{Health, Target};
 use bytes::Bytes;
@@ -26,7 +26,7 @@
     /// It may have run: the connection ended, or what came was no answer to it.
     Unknown(CompactString),
     /// It may have run: there was no answer in time.
-    Late,
+    TimedOut,
     /// Nothing was sent: the target wants no request now.
     Closed(Closed),
 }
@@ -40,7 +40,7 @@
             Self::NotRun(_) => "refused",
             Self::NotSent(_) => "not-sent",
             Self::Unknown(_) => "unknown",
-            Self::Late => "late",
+            Self::TimedOut => "late",
             Self::Closed(Closed::Limited) => "limited",
             Self::Closed(Closed::Leaving) => "leaving",
             Self::Closed(Closed::Paused) => "paused",
@@ -50,7 +50,7 @@
     /// Whether the target ran the request, or may have.
     pub fn may_have_run(&self) -> bool {
         match self {
-            Self::Answered(_) | Self::Unknown(_) | Self::Late => true,
+            Self::Answered(_) | Self::Unknown(_) | Self::TimedOut => true,
             Self::NotRun(_) | Self::NotSent(_) | Self::Closed(_) => false,
         }
     }
@@ -62,7 +62,7 @@
     /// The head, and the body as it comes.
     pub response: Response<Incoming>,
     /// What the head says.
-    pub reply: Reply,
+    pub head: ResponseHead,
     /// The connection, to be kept once the body is complete.
     pub connection: Connection,
 }
@@ -71,34 +71,35 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
     /// Connections that this process may have to the target.
-    pub connections: u32,
+    pub max_connections: u32,
     /// How long one that is being opened is waited for.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Until when the head of the answer is waited for.
-    pub until: Instant,
+    pub deadline: Instant,
 }
 
 /// Sends `content` to `target` and waits for the head of the answer.
 pub async fn send(
-    border: &dyn Border,
+    codec: &dyn Codec,
     target: &Arc<Target>,
-    content: &Content,
-    sending: &Sending,
+    content: &BufferedRequest,
+    sending: &AttemptHead,
     bounds: &Bounds,
 ) -> Outcome {
     let mut counted = false;
     // A kept connection may turn out closed before anything was sent on it; then comes the next.
     loop {
         let now = Instant::now();
-        let mut connection = match target.pool.take(bounds.connections, bounds.connect, now).await {
-            Ok(connection) => connection,
-            Err(error) => {
-                if matches!(error, pool::Error::Connect { .. }) {
-                    target.judge(Health::Unreachable, Instant::now());
+        let mut connection =
+            match target.pool.take(bounds.max_connections, bounds.connect_timeout, now).await {
+                Ok(connection) => connection,
+                Err(error) => {
+                    if matches!(error, pool::Error::Connect { .. }) {
+                        target.record_health(Health::Unreachable, Instant::now());
+                    }
+                    return Outcome::NotSent(error.to_compact_string());
                 }
-                return Outcome::NotSent(error.to_compact_string());
-            }
-        };
+            };
         let now = Instant::now();
         let admitted = if counted { target.recheck(now) } else { target.take(now) };
         if let Err(closed) = admitted {
@@ -106,15 +107,15 @@
             return Outcome::Closed(closed);
         }
         counted = true;
-        let request = request(border, content, sending);
+        let request = request(codec, content, sending);
         let (reused, sent) = (connection.reused, Instant::now());
-        match timeout_at(bounds.until, connection.sender.try_send_request(request)).await {
+        match timeout_at(bounds.deadline, connection.sender.try_send_request(request)).await {
             Err(_) => {
-                return Outcome::Late;
+                return Outcome::TimedOut;
             }
             Ok(Err(mut error)) => {
                 if error.take_message().is_none() {
-                    target.judge(Health::Failing, Instant::now());
+                    target.record_health(Health::Failing, Instant::now());
                     return Outcome::Unknown(error.error().to_compact_string());
                 }
                 if !reused {
@@ -122,7 +123,7 @@
                 }
             }
             Ok(Ok(response)) => {
-                return judge(border, target, sending, sent, response, connection);
+                return judge(codec, target, sending, sent, response, connection);
             }
         }
     }
@@ -130,18 +131,18 @@
 
 /// Sends an internal call and reads its whole answer; only for calls that any target may get twice.
 pub async fn call(
-    border: &dyn Border,
+    codec: &dyn Codec,
     target: &Arc<Target>,
     method: Method,
     path: &str,
     body: Vec<u8>,
     patience: Duration,
 ) -> Result<(StatusCode, HeaderMap, Bytes), CompactString> {
-    exchange(border, target, method, path, HeaderMap::new(), body, patience).await
+    exchange(codec, target, method, path, HeaderMap::new(), body, patience).await
 }
 
 async fn exchange(
-    border: &dyn Border,
+    codec: &dyn Codec,
     target: &Arc<Target>,
     method: Method,
     path: &str,
@@ -170,7 +171,7 @@
         let response = connection.sender.send_request(request).await;
         let (head, body) = response.map_err(|error| error.to_compact_string())?.into_parts();
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            let reply = border.reply(head.status, &head.headers);
+            let reply = codec.decode_response(head.status, &head.headers);
             target.observe_signals(&reply.signals, sent, Instant::now());
         }
         let body = body.collect().await.map_err(|error| error.to_compact_string())?;
@@ -183,64 +184,69 @@
 
 /// Gives an order to an engine; one that was replaced at its address refuses.
 pub async fn order(
-    border: &dyn Border,
+    codec: &dyn Codec,
     engine: &Arc<Target>,
     path: &str,
     body: Vec<u8>,
     patience: Duration,
 ) -> Result<StatusCode, CompactString> {
-    let sending = Sending { target: engine.id.clone(), deadline: patience, ..Sending::default() };
-    let mut headers = border.sending(&HeaderMap::new(), &sending);
+    let sending =
+        AttemptHead { target: engine.id.clone(), deadline: patience, ..AttemptHead::default() };
+    let mut headers = codec.attempt_headers(&HeaderMap::new(), &sending);
     headers.insert(http::header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let answer = exchange(border, engine, Method::POST, path, headers, body, patience).await?;
+    let answer = exchange(codec, engine, Method::POST, path, headers, body, patience).await?;
     Ok(answer.0)
 }
 
-fn request(border: &dyn Border, content: &Content, sending: &Sending) -> Request<Full<Bytes>> {
+fn request(
+    codec: &dyn Codec,
+    content: &BufferedRequest,
+    sending: &AttemptHead,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(content.body.clone()));
     *request.method_mut() = content.method.clone();
     *request.uri_mut() = content.path.clone();
-    *request.headers_mut() = border.sending(&content.headers, sending);
+    *request.headers_mut() = codec.attempt_headers(&content.headers, sending);
     request
 }
 
 fn judge(
-    border: &dyn Border,
+    codec: &dyn Codec,
     target: &Arc<Target>,
-    sending: &Sending,
+    sending: &AttemptHead,
     sent: Instant,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Outcome {
     let now = Instant::now();
     let status = response.status();
-    let reply = border.reply(status, response.headers());
+    let reply = codec.decode_response(status, response.headers());
     let refused = reply.not_run || status == StatusCode::MISDIRECTED_REQUEST;
-    let other = reply.attempt.is_some() && reply.attempt != sending.attempt;
+    let other = reply.attempt_id.is_some() && reply.attempt_id != sending.attempt_id;
     if other {
         // A doubled or late answer stood where this one was due. The connection is dropped, and
         // with it the right answer: whose it would be can't be told any more.
-        target.judge(Health::Failing, now);
+        target.record_health(Health::Failing, now);
         return Outcome::Unknown("the answer belongs to another request".into());
     }
     // One that says so is another target.
     if status != StatusCode::MISDIRECTED_REQUEST {
         target.observe_signals(&reply.signals, sent, now);
-        if let Some(busy) = reply.busy {
+        if let Some(busy) = reply.load {
             target.observe_load(busy, now);
         }
     }
     if refused {
         if status == StatusCode::MISDIRECTED_REQUEST {
             log::info!(target: "fleet", target_id = target.id.as_str(); "another answers in its place");
-            target.misdirected(now);
+            target.mark_misdirected(now);
         }
         drain(response, connection, reply);
         return Outcome::NotRun(status);
     }
     let health = if status.is_server_error() { Health::Failing } else { Health::Sound };
-    target.judge(health, now);
-    Outcome::Answered(Box::new(Answered { response, reply, connection }))
+    target.record_health(health, now);
+    Outcome::Answered(Box::new(Answered { response, head: reply, connection }))
 }
 
 /// The largest body of a refusal that is read so that its connection can be kept, in bytes.
@@ -250,7 +256,7 @@
 const REFUSAL: Duration = Duration::from_millis(500);
 
 /// Reads the rest of a refusal aside, so that its connection can be kept.
-fn drain(response: Response<Incoming>, connection: Connection, reply: Reply) {
+fn drain(response: Response<Incoming>, connection: Connection, reply: ResponseHead) {
     use http_body_util::BodyExt;
     use hyper::body::Body;
     if response.body().size_hint().upper().is_none_or(|size| size > MAX_REFUSAL) {
--- a/crates/direct/src/targets/standings.rs
+++ b/crates/direct/src/targets/availability.rs
@@ -23,7 +23,7 @@
 
 /// What targets said, by the keys of their lives.
 #[derive(Debug, Default)]
-pub struct Standings {
+pub struct Availability {
     inner: Mutex<Inner>,
     /// Whether a target waits to be taken out of the fleet, so that requests need no lock to see that none does.
     has_departed: AtomicBool,
@@ -43,20 +43,20 @@
 
 /// What one life of a target said of itself, for other entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Row {
+pub struct Unavailable {
     /// The key of the life.
     pub target: Hash,
     /// What it said.
-    pub said: Said,
+    pub reason: Reason,
 }
 
-/// See [`Row`].
+/// See [`Unavailable`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Said {
+pub enum Reason {
     /// It leaves.
-    Leaves,
+    Leaving,
     /// It wants no requests from this entry for so long.
-    Pauses(Duration),
+    Paused(Duration),
 }
 
 /// How many targets are listed.
@@ -68,12 +68,12 @@
     pub paused: i64,
 }
 
-impl Standings {
+impl Availability {
     /// Takes in what changed with an answer of a target.
     pub fn note(&self, target: Hash, changes: &[Change], now: Instant) {
         for change in changes {
             match change {
-                Change::Leaves => self.depart(target, now),
+                Change::Leaves => self.record_leaving(target, now),
                 Change::Pauses { span, .. } => {
                     self.lock().paused.insert(target, now + *span);
                 }
@@ -83,7 +83,7 @@
     }
 
     /// Takes in that a target leaves.
-    pub fn depart(&self, target: Hash, now: Instant) {
+    pub fn record_leaving(&self, target: Hash, now: Instant) {
         let mut inner = self.lock();
         if inner.left.contains_key(&target) {
             return;
@@ -120,15 +120,16 @@
     }
 
     /// What the other entries are to know.
-    pub fn rows(&self, now: Instant) -> Vec<Row> {
+    pub fn snapshot(&self, now: Instant) -> Vec<Unavailable> {
         let mut inner = self.lock();
         inner.expire(now);
         let leaving = inner.leaving.iter().rev();
-        let leaving = leaving.map(|(target, _)| Row { target: *target, said: Said::Leaves });
-        let paused = inner
-            .paused
-            .iter()
-            .map(|(target, until)| Row { target: *target, said: Said::Pauses(*until - now) });
+        let leaving =
+            leaving.map(|(target, _)| Unavailable { target: *target, reason: Reason::Leaving });
+        let paused = inner.paused.iter().map(|(target, until)| Unavailable {
+            target: *target,
+            reason: Reason::Paused(*until - now),
+        });
         leaving.chain(paused).take(MAX_PUBLISHED).collect()
     }
 
--- a/crates/direct/src/targets/engine.rs
+++ b/crates/direct/src/targets/engine.rs
@@ -49,7 +49,7 @@
     }
 
     /// Tokens that this process has it read now.
-    pub fn reading(&self) -> u64 {
+    pub fn prefill_tokens(&self) -> u64 {
         self.lock().reading
     }
 
@@ -59,19 +59,19 @@
     }
 
     /// Books a prompt of which `tokens` are to be read; the booking ends with the guard.
-    pub fn read(&self, tokens: u64) -> Reading {
+    pub fn begin_prefill(&self, tokens: u64) -> PrefillGuard {
         self.0.book(|state| state.reading += tokens);
-        Reading { engine: self.0.clone(), tokens }
+        PrefillGuard { engine: self.0.clone(), tokens }
     }
 
     /// Books a stream; the booking ends with the guard.
-    pub fn write(&self) -> Writing {
+    pub fn begin_stream(&self) -> StreamGuard {
         self.0.book(|state| state.streams += 1);
-        Writing(self.0.clone())
+        StreamGuard(self.0.clone())
     }
 
     /// How many tokens at the prompt's start the engine probably keeps.
-    pub fn kept(&self, parts: &[Part]) -> u64 {
+    pub fn cached_tokens(&self, parts: &[Part]) -> u64 {
         let state = self.lock();
         let kept = parts.iter().take_while(|part| state.kept.contains_key(&part.id));
         kept.map(|part| u64::from(part.tokens)).sum()
@@ -79,7 +79,7 @@
 
     /// Remembers that the engine has read these parts; it keeps `room` tokens at most and forgets
     /// what was used longest ago.
-    pub fn keep(&self, parts: &[Part], room: u64) {
+    pub fn record_cached(&self, parts: &[Part], room: u64) {
         let mut state = self.lock();
         for part in parts {
             state.keep(*part);
@@ -141,12 +141,12 @@
 
 /// A prompt that is booked at an engine.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PrefillGuard {
     engine: Arc<Inner>,
     tokens: u64,
 }
 
-impl Drop for Reading {
+impl Drop for PrefillGuard {
     fn drop(&mut self) {
         let mut state = self.engine.lock();
         state.reading = state.reading.saturating_sub(self.tokens);
@@ -157,9 +157,9 @@
 
 /// A stream that is booked at an engine.
 #[derive(Debug)]
-pub struct Writing(Arc<Inner>);
+pub struct StreamGuard(Arc<Inner>);
 
-impl Drop for Writing {
+impl Drop for StreamGuard {
     fn drop(&mut self) {
         let mut state = self.0.lock();
         state.streams = state.streams.saturating_sub(1);
--- a/crates/direct/src/targets/fleet.rs
+++ b/crates/direct/src/targets/fleet.rs
@@ -5,7 +5,7 @@
 //! again under its id: its new life replaces the former one with all that was believed of it (stage,
 //! kept parts, connections, pauses, announced changes), and a former life never comes back.
 
-use crate::border::{Born, TargetId};
+use crate::border::{Incarnation, TargetId};
 use crate::config::route::{ServiceName, Stage};
 use crate::targets::target::{self, Target};
 use crate::targets::workload::Workload;
@@ -23,7 +23,7 @@
 
 /// What a target tells of itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sighting {
+pub struct TargetRecord {
     /// The service it belongs to.
     pub service: ServiceName,
     /// Its address.
@@ -38,29 +38,29 @@
     pub stage: Option<Stage>,
     /// When this life of it began, in milliseconds since 1970 by its own clock, if it says so: it may
     /// start again under its id, and then knows nothing of before.
-    pub born: Option<Born>,
+    pub incarnation: Option<Incarnation>,
     /// Counts the records of one life; a lower one is older.
     pub sequence: u64,
 }
 
 /// One change in the list of targets.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum FleetUpdate {
     /// A target tells of itself.
-    Seen(TargetId, Sighting),
+    Registered(TargetId, TargetRecord),
     /// Its entry was removed.
-    Gone(TargetId),
+    Removed(TargetId),
     /// Its entry can't be read: another writer wrote it, and nothing is known by it.
     Unreadable(TargetId),
 }
 
 /// How the log does while the list is read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Condition {
+pub enum LogState {
     /// It answers.
-    Calm,
+    Healthy,
     /// Calls to it have lately failed.
-    Troubled,
+    Degraded,
     /// It has come back from an older copy: entries that were written since are missing.
     Restored,
 }
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone)]
 struct Member {
     target: Arc<Target>,
-    born: Option<Born>,
+    incarnation: Option<Incarnation>,
     sequence: u64,
     offset: Offset,
     leaving: bool,
@@ -99,7 +99,7 @@
 
 impl Member {
     /// Takes in a newer record of the same life, and says whether anything changed.
-    fn update(&mut self, id: &TargetId, sighting: &Sighting, offset: Offset) -> bool {
+    fn update(&mut self, id: &TargetId, sighting: &TargetRecord, offset: Offset) -> bool {
         let leaves = sighting.leaving && !self.leaving;
         if leaves {
             log::info!(target: "fleet", target_id = id.as_str(), offset; "target leaves");
@@ -118,11 +118,11 @@
     }
 }
 
-/// Whether a record of the life that began at `born` is of a life before `than`. One that does not
+/// Whether a record of the life that began at `incarnation` is of a life before `than`. One that does not
 /// tell its life, of a target that does, was not written by it.
-fn is_former(born: Option<Born>, than: Option<Born>) -> bool {
-    match (born, than) {
-        (Some(born), Some(than)) => born < than,
+fn is_former(incarnation: Option<Incarnation>, than: Option<Incarnation>) -> bool {
+    match (incarnation, than) {
+        (Some(incarnation), Some(than)) => incarnation < than,
         (None, Some(_)) => true,
         (_, None) => false,
     }
@@ -132,7 +132,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Removed {
     offset: Offset,
-    born: Option<Born>,
+    incarnation: Option<Incarnation>,
     sequence: u64,
 }
 
@@ -170,17 +170,17 @@
     }
 
     /// Takes in one reading of the list, in the log's order.
-    pub fn apply(&mut self, news: Vec<(Offset, News)>, now: Instant, condition: Condition) {
+    pub fn apply(&mut self, news: Vec<(Offset, FleetUpdate)>, now: Instant, condition: LogState) {
         let before = self.changed_by.len();
         let mut gone = Vec::new();
         for (offset, news) in news {
             match news {
-                News::Seen(id, sighting) => {
+                FleetUpdate::Registered(id, sighting) => {
                     gone.retain(|(other, _)| *other != id);
                     self.see(id, sighting, offset);
                 }
-                News::Gone(id) => gone.push((id, offset)),
-                News::Unreadable(_) => {}
+                FleetUpdate::Removed(id) => gone.push((id, offset)),
+                FleetUpdate::Unreadable(_) => {}
             }
         }
         let lapses = self.lapses(&gone, condition);
@@ -200,22 +200,22 @@
     /// Replaces the list by a complete one, read at `end`; targets that it lacks are gone.
     pub fn replace(
         &mut self,
-        all: Vec<(Offset, News)>,
+        all: Vec<(Offset, FleetUpdate)>,
         end: Offset,
         now: Instant,
-        condition: Condition,
+        condition: LogState,
     ) {
         let listed: std::collections::HashSet<TargetId> = all
             .iter()
             .filter_map(|(_, news)| match news {
-                News::Seen(id, _) | News::Unreadable(id) => Some(id.clone()),
-                News::Gone(_) => None,
+                FleetUpdate::Registered(id, _) | FleetUpdate::Unreadable(id) => Some(id.clone()),
+                FleetUpdate::Removed(_) => None,
             })
             .collect();
         let missing = self.members.keys().filter(|id| !listed.contains(*id));
-        let missing: Vec<_> = missing.map(|id| (end, News::Gone(id.clone()))).collect();
+        let missing: Vec<_> = missing.map(|id| (end, FleetUpdate::Removed(id.clone()))).collect();
         self.apply(all.into_iter().chain(missing).collect(), now, condition);
-        if condition == Condition::Restored {
+        if condition == LogState::Restored {
             // The others have to read it as well, though nothing may have changed.
             self.news = self.news.max(end);
         }
@@ -223,7 +223,7 @@
 
     /// Keeps new work away from targets that have said in an answer that they leave.
     pub fn take_departures(&mut self) {
-        let departed = self.workload.standings.take_departed();
+        let departed = self.workload.availability.take_departed();
         let mut any = false;
         for key in departed {
             let member = self.ids.get(&key).and_then(|id| self.members.get_mut(id));
@@ -273,15 +273,21 @@
     }
 
     /// A target by the key of its life, if it may get new work.
-    pub fn life(&self, key: Hash) -> Option<&Arc<Target>> {
+    pub fn by_key(&self, key: Hash) -> Option<&Arc<Target>> {
         self.get(self.ids.get(&key)?)
     }
 
     /// Notes that an engine is about to change its stage until then. One that isn't listed yet is remembered:
     /// a process that starts may read the announcement before the list.
-    pub fn expect_stage(&mut self, id: TargetId, stage: Stage, now: Instant, until: Instant) {
+    pub fn expect_stage_change(
+        &mut self,
+        id: TargetId,
+        stage: Stage,
+        now: Instant,
+        until: Instant,
+    ) {
         match self.members.get(&id) {
-            Some(member) => member.target.expect_stage(stage, now, until),
+            Some(member) => member.target.expect_stage_change(stage, now, until),
             None => {
                 if self.expected.len() >= MAX_EXPECTED {
                     self.expected.clear();
@@ -292,7 +298,7 @@
     }
 
     /// The offset after the last record that changed something.
-    pub fn news(&self) -> Offset {
+    pub fn change_end(&self) -> Offset {
         self.news
     }
 
@@ -316,14 +322,15 @@
         self.members.is_empty()
     }
 
-    fn see(&mut self, id: TargetId, sighting: Sighting, offset: Offset) {
+    fn see(&mut self, id: TargetId, sighting: TargetRecord, offset: Offset) {
         let removed = self.removed.get(&id);
         let outdated = |removed: &Removed| {
             // A log that came back older has records of targets that were gone already.
             let restored = epoch::epoch(removed.offset) < epoch::epoch(offset);
-            let known = sighting.born == removed.born && sighting.sequence <= removed.sequence;
+            let known = sighting.incarnation == removed.incarnation
+                && sighting.sequence <= removed.sequence;
             removed.offset >= offset
-                || is_former(sighting.born, removed.born)
+                || is_former(sighting.incarnation, removed.incarnation)
                 || (restored && known)
         };
         if removed.is_some_and(outdated) {
@@ -333,11 +340,11 @@
             self.add(id, sighting, offset);
             return;
         };
-        if offset < member.offset || is_former(sighting.born, member.born) {
+        if offset < member.offset || is_former(sighting.incarnation, member.incarnation) {
             return;
         }
-        if is_former(member.born, sighting.born) {
-            log::info!(target: "fleet", target_id = id.as_str(), offset, born:? = sighting.born;
+        if is_former(member.incarnation, sighting.incarnation) {
+            log::info!(target: "fleet", target_id = id.as_str(), offset, born:? = sighting.incarnation;
                 "target started again");
             self.add(id, sighting, offset);
             return;
@@ -351,22 +358,24 @@
     }
 
     /// Adds a target, or the new life of one.
-    fn add(&mut self, id: TargetId, sighting: Sighting, offset: Offset) {
-        let Sighting { service, address, domain, slots, leaving, stage, born, sequence } = sighting;
+    fn add(&mut self, id: TargetId, sighting: TargetRecord, offset: Offset) {
+        let TargetRecord { service, address, domain, slots, leaving, stage, incarnation, sequence } =
+            sighting;
         self.note(offset);
         log::info!(target: "fleet", target_id = id.as_str(), service = service.as_str(),
-            address:% = address, leaving, stage:? = stage, born:? = born, offset; "target seen");
-        let identity = target::Identity { id: id.clone(), born };
+            address:% = address, leaving, stage:? = stage, born:? = incarnation, offset; "target seen");
+        let identity = target::Identity { id: id.clone(), incarnation };
         let target = Target::new(identity, service, address, domain, slots, self.workload.clone());
         target.set_stage(stage);
         if let Some((stage, until)) = self.expected.remove(&id) {
-            target.expect_stage(stage, Instant::now(), until);
+            target.expect_stage_change(stage, Instant::now(), until);
         }
         let target = Arc::new(target);
         let leaving = leaving || target.is_leaving();
         self.drop_member(&id);
         self.ids.insert(target.key, id.clone());
-        self.members.insert(id, Member { target, born, sequence, offset, leaving, lapses: None });
+        self.members
+            .insert(id, Member { target, incarnation, sequence, offset, leaving, lapses: None });
     }
 
     fn drop_member(&mut self, id: &TargetId) {
@@ -380,7 +389,7 @@
         if offset < member.offset {
             return;
         }
-        let Member { born, sequence, .. } = *member;
+        let Member { incarnation, sequence, .. } = *member;
         if let Some(at) = lapses {
             let at = *member.lapses.get_or_insert(at);
             self.lapses = Some(self.lapses.map_or(at, |first| first.min(at)));
@@ -393,7 +402,7 @@
         if self.removed.len() >= MAX_REMOVED {
             self.removed.clear();
         }
-        self.removed.insert(id.clone(), Removed { offset, born, sequence });
+        self.removed.insert(id.clone(), Removed { offset, incarnation, sequence });
     }
 
     /// The services of which so many entries vanished that it looks like a lapse, with how long
@@ -401,7 +410,7 @@
     fn lapses(
         &self,
         gone: &[(TargetId, Offset)],
-        condition: Condition,
+        condition: LogState,
     ) -> HashMap<ServiceName, Duration> {
         let mut lost: HashMap<&ServiceName, usize> = HashMap::new();
         for (id, _) in gone {
@@ -415,12 +424,12 @@
             let float = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
             let many = lost > 1 && float(lost) > float(all) * LAPSE_SHARE;
             match (condition, many) {
-                (Condition::Restored, _) => Some(ALL_LAPSE),
-                (Condition::Troubled, true) if lost == all => Some(ALL_LAPSE),
-                (Condition::Troubled, true) => Some(LAPSE),
-                (Condition::Troubled, false) if lost == all => Some(LAPSE),
-                (Condition::Calm, true) => Some(DOUBT),
-                (Condition::Troubled | Condition::Calm, false) => None,
+                (LogState::Restored, _) => Some(ALL_LAPSE),
+                (LogState::Degraded, true) if lost == all => Some(ALL_LAPSE),
+                (LogState::Degraded, true) => Some(LAPSE),
+                (LogState::Degraded, false) if lost == all => Some(LAPSE),
+                (LogState::Healthy, true) => Some(DOUBT),
+                (LogState::Degraded | LogState::Healthy, false) => None,
             }
         };
         let waits = lost
--- a/crates/direct/src/targets/pool.rs
+++ b/crates/direct/src/targets/pool.rs
@@ -86,7 +86,7 @@
     /// Whether it carried requests before.
     pub reused: bool,
     /// How long it took to open, if this request opened it.
-    pub opened: Option<Duration>,
+    pub connect_time: Option<Duration>,
     count: Counted,
     pool: Arc<Inner>,
 }
@@ -134,7 +134,7 @@
         };
         idle.append(&mut unready);
         let Idle { sender, count, .. } = found?;
-        Some(Connection { sender, reused: true, opened: None, count, pool: self.0.clone() })
+        Some(Connection { sender, reused: true, connect_time: None, count, pool: self.0.clone() })
     }
 
     async fn open(&self, most: u32, patience: Duration) -> Result<Connection> {
@@ -159,7 +159,7 @@
                 log::debug!(target: "pool", target:% = target, error:% = error; "connection ended");
             }
         });
-        Ok(Connection { sender, reused: false, opened, count, pool: self.0.clone() })
+        Ok(Connection { sender, reused: false, connect_time: opened, count, pool: self.0.clone() })
     }
 }
 
--- a/crates/direct/src/targets/target.rs
+++ b/crates/direct/src/targets/target.rs
@@ -4,7 +4,7 @@
 mod intake;
 mod role;
 
-use crate::border::{Born, Busy, TargetId};
+use crate::border::{Incarnation, ReportedLoad, TargetId};
 use crate::config::route::{ServiceName, Stage};
 use crate::targets::engine::Engine;
 use crate::targets::pool::Pool;
@@ -30,7 +30,7 @@
     /// The hash of its id and its life: what others tell of a former life is not of this one.
     pub key: policy::Hash,
     /// When this life of it began, if it says so.
-    pub born: Option<Born>,
+    pub incarnation: Option<Incarnation>,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Its address.
@@ -59,19 +59,19 @@
     /// The target's id.
     pub id: TargetId,
     /// When the life began, if it says so.
-    pub born: Option<Born>,
+    pub incarnation: Option<Incarnation>,
 }
 
 /// Which way KV cache goes, seen from one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum TransferDirection {
     /// To another engine.
     Out,
     /// From another engine.
     In,
 }
 
-/// Half of the longest that a transfer waits, see [`Target::is_choked`].
+/// Half of the longest that a transfer waits, see [`Target::has_transfer_backlog`].
 const CHOKED: Duration = Duration::from_millis(1_000);
 
 /// For how long a target's own word about its load counts. Its requests take tens of milliseconds,
@@ -83,7 +83,7 @@
 
 /// How long an announced change is waited for: the announcement, the streams that run, the switch
 /// and the news of it. An order that was lost costs the engine's work for this time.
-pub const CHANGE: Duration = Duration::from_millis(9_000);
+pub const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_millis(9_000);
 
 #[derive(Debug, Default)]
 struct Load {
@@ -93,7 +93,7 @@
     handed_out: Handover,
     taken_in: Handover,
     /// What it said of its requests, and when.
-    busy: Option<(Busy, Instant)>,
+    busy: Option<(ReportedLoad, Instant)>,
 }
 
 /// How an exchange with a target ended, as far as its health goes.
@@ -110,23 +110,24 @@
 impl Target {
     /// A target without connections or load; changes of its load are told to `workload`.
     pub fn new(
-        Identity { id, born }: Identity,
+        Identity { id, incarnation }: Identity,
         service: ServiceName,
         address: SocketAddr,
         domain: CompactString,
         slots: u32,
         workload: Arc<Workload>,
     ) -> Self {
-        let key = born.map_or(policy::hash(&id), |born| policy::mix(policy::hash(&id), born));
+        let key = incarnation
+            .map_or(policy::hash(&id), |incarnation| policy::mix(policy::hash(&id), incarnation));
         let domain_key = policy::hash(&domain);
         let known = Instant::now();
-        let standing = workload.standings.known(key, known);
+        let standing = workload.availability.known(key, known);
         let load = Mutex::new(Load { intake: Intake::new(standing), ..Load::default() });
         let (pool, engine) = (Pool::new(address), Engine::new(key, workload.clone()));
         Self {
             id,
             key,
-            born,
+            incarnation,
             service,
             address,
             domain,
@@ -152,18 +153,18 @@
     }
 
     /// Notes that its stage is about to change: it gets no new work until it has, or that time.
-    pub fn expect_stage(&self, stage: Stage, now: Instant, until: Instant) {
+    pub fn expect_stage_change(&self, stage: Stage, now: Instant, until: Instant) {
         self.load().role.expect(stage, now, until);
     }
 
     /// Whether it is about to change its stage.
-    pub fn is_changing(&self, now: Instant) -> bool {
+    pub fn is_changing_stage(&self, now: Instant) -> bool {
         self.load().role.is_changing(now)
     }
 
     /// For how long it has been about to have this stage, if it is.
-    pub fn changes_since(&self, stage: Stage, now: Instant) -> Option<Duration> {
-        self.load().role.changes_since(stage, now)
+    pub fn stage_change_age(&self, stage: Stage, now: Instant) -> Option<Duration> {
+        self.load().role.stage_change_age(stage, now)
     }
 
     /// The stage that it has, or is about to have.
@@ -177,14 +178,14 @@
     }
 
     /// Books a request sent there; the booking ends with the guard.
-    pub fn enter(self: &Arc<Self>) -> Entered {
+    pub fn begin_request(self: &Arc<Self>) -> InFlightRequest {
         let now = self.time(Instant::now());
         self.load().condition.reach.enter(now);
-        Entered(self.clone())
+        InFlightRequest(self.clone())
     }
 
     /// Takes in what it said of its load.
-    pub fn observe_load(&self, busy: Busy, now: Instant) {
+    pub fn observe_load(&self, busy: ReportedLoad, now: Instant) {
         self.load().busy = Some((busy, now));
     }
 
@@ -195,7 +196,7 @@
             self.log_change(*change);
         }
         if !changes.is_empty() {
-            self.workload.standings.note(self.key, &changes, now);
+            self.workload.availability.note(self.key, &changes, now);
             self.workload.change();
         }
         changes
@@ -207,7 +208,7 @@
     }
 
     /// Whether the target wants requests, by its own answers.
-    pub fn look(&self, now: Instant) -> Result<(), Closed> {
+    pub fn check_open(&self, now: Instant) -> Result<(), Closed> {
         self.load().intake.standing.look(self.time(now))
     }
 
@@ -223,7 +224,7 @@
     }
 
     /// How long until it wants requests again after a pause, if it does not now.
-    pub fn paused_for(&self, now: Instant) -> Option<Duration> {
+    pub fn pause_remaining(&self, now: Instant) -> Option<Duration> {
         self.load().intake.standing.paused_for(self.time(now))
     }
 
@@ -267,7 +268,7 @@
 
     /// Whether its coordinators are to be told of its limit, or, if `is_outdated`, that it has none. They
     /// then count as told.
-    pub fn is_limit_due(&self, is_outdated: bool, now: Instant) -> bool {
+    pub fn begin_limit_report(&self, is_outdated: bool, now: Instant) -> bool {
         self.load().intake.is_limit_due(is_outdated, self.time(now))
     }
 
@@ -278,8 +279,8 @@
 
     /// Whether it named a limit and takes in less than is asked for: as one that could do more it is as
     /// good as away.
-    pub fn is_spent(&self, now: Instant) -> bool {
-        self.load().intake.is_spent(self.time(now))
+    pub fn is_limit_exhausted(&self, now: Instant) -> bool {
+        self.load().intake.is_limit_exhausted(self.time(now))
     }
 
     /// How long until something may be sent to it, if there is no permit now, or it wants a pause.
@@ -288,7 +289,7 @@
     }
 
     /// Takes in how an exchange with it ended.
-    pub fn judge(self: &Arc<Self>, health: Health, now: Instant) {
+    pub fn record_health(self: &Arc<Self>, health: Health, now: Instant) {
         self.load().condition.judge(health, self.time(now));
         if health == Health::Unreachable {
             self.probe_until_reached();
@@ -296,45 +297,45 @@
     }
 
     /// Notes that a piece of an answer came from it.
-    pub fn heard(&self, now: Instant) {
+    pub fn record_activity(&self, now: Instant) {
         self.load().condition.reach.heard(self.time(now));
     }
 
     /// Takes in how long KV cache was on its way.
-    pub fn handed_over(&self, way: Way, took: Duration, now: Instant) {
+    pub fn record_transfer(&self, way: TransferDirection, took: Duration, now: Instant) {
         let now = self.time(now);
         let mut load = self.load();
         match way {
-            Way::Out => load.handed_out.sample(took, now),
-            Way::In => load.taken_in.sample(took, now),
+            TransferDirection::Out => load.handed_out.sample(took, now),
+            TransferDirection::In => load.taken_in.sample(took, now),
         }
     }
 
     /// How much longer than usual KV cache is on its way.
-    pub fn handover_excess(&self, way: Way, now: Instant) -> Duration {
+    pub fn transfer_excess(&self, way: TransferDirection, now: Instant) -> Duration {
         let (load, now) = (self.load(), self.time(now));
         match way {
-            Way::Out => load.handed_out.excess(now),
-            Way::In => load.taken_in.excess(now),
+            TransferDirection::Out => load.handed_out.excess(now),
+            TransferDirection::In => load.taken_in.excess(now),
         }
     }
 
     /// Whether KV cache for it waits so long that it is about to refuse more: transfers that would
     /// wait for two seconds are not begun. It lives and answers, but as one that writes it is as good
     /// as away.
-    pub fn is_choked(&self, now: Instant) -> bool {
-        self.handover_excess(Way::In, now) >= CHOKED
+    pub fn has_transfer_backlog(&self, now: Instant) -> bool {
+        self.transfer_excess(TransferDirection::In, now) >= CHOKED
     }
 
     /// Tries to connect, after an exchange broke off: a single connection may have been reset, or
     /// the target may have crashed.
-    pub async fn still_listens(self: &Arc<Self>) -> bool {
+    pub async fn check_listening(self: &Arc<Self>) -> bool {
         let Err(error) = crate::targets::pool::connect(self.address, CHECK).await else {
             return true;
         };
         log::info!(target: "fleet", target_id = self.id.as_str(), error:% = error;
             "target does not listen");
-        self.judge(Health::Unreachable, Instant::now());
+        self.record_health(Health::Unreachable, Instant::now());
         false
     }
 
@@ -344,7 +345,7 @@
     /// does not say so yet: it lapses after seconds, or the log is away. Connections succeed there,
     /// so nothing else would keep requests from being sent and refused, each at the price of one of
     /// the few sendings that a request may have.
-    pub fn misdirected(&self, now: Instant) {
+    pub fn mark_misdirected(&self, now: Instant) {
         self.load().condition.misdirected(self.time(now));
     }
 
@@ -355,7 +356,7 @@
 
     /// Whether it could lately not be reached, is not at its address, wants no requests now, or has said
     /// nothing for `patience` though it has work: others go first.
-    pub fn is_away(&self, patience: Duration, now: Instant) -> bool {
+    pub fn is_unavailable(&self, patience: Duration, now: Instant) -> bool {
         let (load, now) = (self.load(), self.time(now));
         load.intake.is_away(now) || load.condition.is_away(patience, now)
     }
@@ -372,8 +373,8 @@
                 let Some(target) = target.upgrade() else { return };
                 let now = target.time(Instant::now());
                 let begun = target.load().condition.reach.begin_probe(now);
-                if begun && target.still_listens().await {
-                    target.heard(Instant::now());
+                if begun && target.check_listening().await {
+                    target.record_activity(Instant::now());
                 }
             }
             if let Some(target) = target.upgrade() {
@@ -389,7 +390,7 @@
 
     /// How full it is, as a share of its slots: what this process has there or what it said, and
     /// more if it tends to fail.
-    pub fn fullness(&self, now: Instant) -> f64 {
+    pub fn utilization(&self, now: Instant) -> f64 {
         let load = self.load();
         let heard = match load.busy {
             Some((busy, at)) if now.duration_since(at) < FRESH => busy.running + busy.waiting,
@@ -410,9 +411,9 @@
 
 /// A request that is booked at a target.
 #[derive(Debug)]
-pub struct Entered(Arc<Target>);
+pub struct InFlightRequest(Arc<Target>);
 
-impl Drop for Entered {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.0.load().condition.reach.leave();
     }
--- a/crates/direct/src/targets/target/intake.rs
+++ b/crates/direct/src/targets/target/intake.rs
@@ -64,7 +64,7 @@
         (self.closed, self.refused) = (Some(until), Some(now));
     }
 
-    pub(super) fn is_spent(&self, now: Time) -> bool {
+    pub(super) fn is_limit_exhausted(&self, now: Time) -> bool {
         let lately = self.refused.is_some_and(|at| now.saturating_sub(at) < SPENT);
         lately && self.standing.limit().rate().is_some()
     }
--- a/crates/direct/src/targets/target/role.rs
+++ b/crates/direct/src/targets/target/role.rs
@@ -41,7 +41,7 @@
     }
 
     /// For how long it has been about to have this stage, if it is.
-    pub(super) fn changes_since(&self, stage: Stage, now: Instant) -> Option<Duration> {
+    pub(super) fn stage_change_age(&self, stage: Stage, now: Instant) -> Option<Duration> {
         let change = self.change.filter(|change| change.stage == stage);
         change.filter(|_| self.is_changing(now)).map(|change| now.duration_since(change.since))
     }
--- a/crates/direct/src/targets/workload.rs
+++ b/crates/direct/src/targets/workload.rs
@@ -3,7 +3,7 @@
 //! Engines that have none are in no list: what the other entries are told then grows with the requests
 //! of this entry, not with the engines that there are.
 
-use crate::targets::standings::Standings;
+use crate::targets::availability::Availability;
 use policy::Hash;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,7 +21,7 @@
     changed: Notify,
     busy: Mutex<HashMap<Hash, Arc<dyn Booked>>>,
     /// Targets that leave or pause, by their own answers.
-    pub standings: Standings,
+    pub availability: Availability,
 }
 
 /// The work at one engine.
@@ -30,7 +30,7 @@
     /// The engine.
     pub engine: Hash,
     /// Tokens to be read.
-    pub reading: u64,
+    pub prefill_tokens: u64,
     /// Streams.
     pub streams: u32,
 }
@@ -52,14 +52,14 @@
     }
 
     /// The work at all engines that have any.
-    pub fn rows(&self) -> Vec<Row> {
+    pub fn snapshot(&self) -> Vec<Row> {
         let mut busy = self.busy.lock().unwrap_or_else(PoisonError::into_inner);
         let mut rows = Vec::with_capacity(busy.len());
         busy.retain(|engine, booked| {
-            let (reading, streams) = booked.booked();
-            let has_work = reading > 0 || streams > 0;
+            let (prefill_tokens, streams) = booked.booked();
+            let has_work = prefill_tokens > 0 || streams > 0;
             if has_work {
-                rows.push(Row { engine: *engine, reading, streams });
+                rows.push(Row { engine: *engine, prefill_tokens, streams });
             }
             has_work
         });
--- a/crates/direct/tests/engine.rs
+++ b/crates/direct/tests/engine.rs
@@ -10,33 +10,33 @@
 #[test]
 fn a_part_counts_only_if_all_before_it_are_kept() {
     let engine = Engine::default();
-    engine.keep(&parts(&[1, 2, 3]), 1_000);
-    assert_eq!(engine.kept(&parts(&[1, 2, 9])), 200);
-    assert_eq!(engine.kept(&parts(&[9, 2, 3])), 0);
+    engine.record_cached(&parts(&[1, 2, 3]), 1_000);
+    assert_eq!(engine.cached_tokens(&parts(&[1, 2, 9])), 200);
+    assert_eq!(engine.cached_tokens(&parts(&[9, 2, 3])), 0);
 }
 
 #[test]
 fn what_was_used_longest_ago_is_forgotten() {
     let engine = Engine::default();
-    engine.keep(&parts(&[1, 2]), 300);
-    engine.keep(&parts(&[3]), 300);
-    engine.keep(&parts(&[1]), 300);
-    engine.keep(&parts(&[4]), 300);
-    let kept: Vec<_> = [1, 2, 3, 4].map(|id| engine.kept(&parts(&[id]))).into();
+    engine.record_cached(&parts(&[1, 2]), 300);
+    engine.record_cached(&parts(&[3]), 300);
+    engine.record_cached(&parts(&[1]), 300);
+    engine.record_cached(&parts(&[4]), 300);
+    let kept: Vec<_> = [1, 2, 3, 4].map(|id| engine.cached_tokens(&parts(&[id]))).into();
     assert_eq!(kept, [100, 0, 100, 100]);
 }
 
 #[test]
 fn bookings_end_with_their_guards() {
     let engine = Engine::default();
-    let (one, two) = (engine.read(500), engine.read(700));
-    let stream = engine.write();
-    assert_eq!((engine.reading(), engine.streams()), (1_200, 1));
+    let (one, two) = (engine.begin_prefill(500), engine.begin_prefill(700));
+    let stream = engine.begin_stream();
+    assert_eq!((engine.prefill_tokens(), engine.streams()), (1_200, 1));
     drop(one);
     drop(stream);
-    assert_eq!((engine.reading(), engine.streams()), (700, 0));
+    assert_eq!((engine.prefill_tokens(), engine.streams()), (700, 0));
     drop(two);
-    assert_eq!(engine.reading(), 0);
+    assert_eq!(engine.prefill_tokens(), 0);
 }
 
 /// Whatever is used in whatever order, no more than fits is believed to be kept, and the memory of
@@ -46,10 +46,10 @@
     bolero::check!().with_type::<Vec<u8>>().for_each(|uses| {
         let engine = Engine::default();
         for id in uses {
-            engine.keep(&parts(&[u64::from(*id)]), 1_000);
+            engine.record_cached(&parts(&[u64::from(*id)]), 1_000);
         }
-        let kept = (0..=255).filter(|id| engine.kept(&parts(&[*id])) > 0).count();
+        let kept = (0..=255).filter(|id| engine.cached_tokens(&parts(&[*id])) > 0).count();
         assert!(kept <= 10);
-        assert!(uses.last().is_none_or(|id| engine.kept(&parts(&[u64::from(*id)])) > 0));
+        assert!(uses.last().is_none_or(|id| engine.cached_tokens(&parts(&[u64::from(*id)])) > 0));
     });
 }
--- a/crates/direct/tests/journal.rs
+++ b/crates/direct/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Log lines never delay the work.
 
-use direct::journal::Journal;
+use direct::journal::QueuedAppender;
 use logforth::Append;
 use logforth::record::Record;
 use std::io::Write;
@@ -26,7 +26,7 @@
 #[test]
 fn a_reader_that_stops_reading_delays_nothing() {
     let (_reader, stuck) = channel();
-    let journal = Journal::new(Stuck(stuck));
+    let journal = QueuedAppender::new(Stuck(stuck));
     let began = Instant::now();
     for _ in 0..100_000 {
         let record = Record::builder().payload(format_args!("request ended")).build();
--- a/crates/direct/tests/route.rs
+++ b/crates/direct/tests/route.rs
@@ -1,6 +1,6 @@
 //! Which route a request takes.
 
-use direct::config::route::{Limits, Portion, Repeat, Route, Table};
+use direct::config::route::{Limits, RetryPolicy, Route, Table, WeightedService};
 use std::time::Duration;
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -9,21 +9,21 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        portions: portions
-            .map(|(service, weight)| Portion { service: service.into(), weight })
+        services: portions
+            .map(|(service, weight)| WeightedService { service: service.into(), weight })
             .into(),
-        repeat: Repeat::Once,
+        retry_policy: RetryPolicy::Once,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(100),
-        pause: None,
-        rank: 0,
-        attempts: 1,
-        open: false,
+        max_gap: None,
+        priority: 0,
+        max_attempts: 1,
+        public: false,
     }
 }
 
 fn table() -> Table {
-    let limits = Limits { header_bytes: 1, body_bytes: 1, idle_time: Duration::ZERO };
+    let limits = Limits { header_bytes: 1, body_bytes: 1, idle_timeout: Duration::ZERO };
     let routes = [
         route("root", "one.example", "/"),
         route("a", "one.example", "/a/"),
@@ -53,6 +53,6 @@
 #[test]
 fn requests_are_dealt_by_weight() {
     let route = route("r", "h", "/");
-    let to_y = (0..1_000).filter(|n| route.portion(f64::from(*n) / 1_000.0) == "y").count();
+    let to_y = (0..1_000).filter(|n| route.pick_service(f64::from(*n) / 1_000.0) == "y").count();
     assert_eq!(to_y, 100);
 }
--- a/crates/direct/tests/story.rs
+++ b/crates/direct/tests/story.rs
@@ -1,6 +1,6 @@
 //! Searches in log files, and the page that lists what can be found there.
 
-use direct::story::{Source, beliefs, request};
+use direct::story::{Source, request, state_changes};
 use insta::assert_snapshot;
 
 const ONE: &str = "\
@@ -30,7 +30,7 @@
 
 #[test]
 fn what_was_believed_in_a_span_of_time() {
-    let found = beliefs("2026-06-01T15:00:01.15Z", "2026-06-01T15:00:03.06Z", &sources());
+    let found = state_changes("2026-06-01T15:00:01.15Z", "2026-06-01T15:00:03.06Z", &sources());
     assert_snapshot!(found.join("\n"));
 }
 
--- a/crates/direct/tests/target.rs
+++ b/crates/direct/tests/target.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 fn target() -> Target {
-    let identity = Identity { id: "i-1".into(), born: None };
+    let identity = Identity { id: "i-1".into(), incarnation: None };
     let address = "127.0.0.1:1".parse().expect("a valid address");
     Target::new(identity, "s".into(), address, "a".into(), 4, Arc::default())
 }
@@ -35,11 +35,11 @@
 async fn a_target_without_a_limit_has_nothing_to_tell() {
     let (target, now) = (target(), Instant::now());
     assert!(!hear(&target, Said::Nothing, now));
-    assert!(!target.is_limit_due(false, now));
+    assert!(!target.begin_limit_report(false, now));
     hear(&target, Said::Value(5.0), now);
-    assert!(target.is_limit_due(false, now));
-    assert!(!target.is_limit_due(false, now));
+    assert!(target.begin_limit_report(false, now));
+    assert!(!target.begin_limit_report(false, now));
     // Its end is told at once, though it was told of just now.
     hear(&target, Said::Nothing, now);
-    assert!(target.is_limit_due(false, now));
+    assert!(target.begin_limit_report(false, now));
 }
