--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -5,7 +5,7 @@
 //! leaves the other's fields alone. Engines and services are named by the lower half of their hashes;
 //! 0 names none.
 
-use crate::border::Part;
+use crate::codec::Part;
 use policy::bookings::BookingId;
 use policy::pacing;
 use prost::Message;
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -1,7 +1,7 @@
 //! Requests that were running when a target crashed.
 
+use crate::buffered_request::BufferedRequest;
 use crate::config::customers::Customer;
-use crate::content::BufferedRequest;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::exchange::entry_stream::{self, StreamView};
 use crate::exchange::follow::{self, Decode};
 use crate::exchange::gossip;
-use crate::measured::Measured;
+use crate::instrumented_log::Measured;
 use crate::probe;
 use crate::request::intake::Intake;
 use crate::shared::{Shared, Stop};
@@ -185,8 +185,8 @@
 
 fn metrics_page(shared: Arc<Shared>) -> probe::Page {
     Arc::new(move |_| {
-        let dropped = crate::journal::dropped();
-        let unknown = crate::unknown::count();
+        let dropped = crate::logging::dropped();
+        let unknown = crate::unknown_names::count();
         shared.metrics.unknown_names.set(i64::try_from(unknown).unwrap_or(i64::MAX));
         shared.metrics.dropped_lines.set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let now = Instant::now();
--- a/crates/direct/src/duty/stages.rs
+++ b/crates/direct/src/duty/stages.rs
@@ -16,7 +16,7 @@
 
 mod orders;
 
-use crate::border::TargetId;
+use crate::codec::TargetId;
 use crate::config::route::{Service, ServiceName, Stage};
 use crate::exchange::entry_stream::StreamView;
 use crate::shared::Shared;
--- a/crates/direct/src/duty/stages/orders.rs
+++ b/crates/direct/src/duty/stages/orders.rs
@@ -4,9 +4,9 @@
 //! is measured on a clock that also counts suspended time, from before the append.
 
 use super::Planner;
-use crate::border::{EngineReport, StageOrder};
 use crate::cluster::clock::since_boot;
 use crate::cluster::tail::{RecordSpan, Topic};
+use crate::codec::{EngineReport, StageOrder};
 use crate::config::route::Stage;
 use crate::exchange::broadcast;
 use crate::exchange::entry_stream;
--- a/crates/direct/src/exchange/coordination/reading.rs
+++ b/crates/direct/src/exchange/coordination/reading.rs
@@ -2,12 +2,12 @@
 
 use super::permits::part;
 use super::{SILENCE, service};
-use crate::border::Part;
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
 use crate::cluster::messages::{
     CachedPrefix, Decision, Granted, Parts, PrefillRequest, Refused, Response,
 };
+use crate::codec::Part;
 use crate::config::route::{Service, Stage};
 use crate::shared::Shared;
 use crate::targets::target::{Target, TransferDirection};
--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -6,7 +6,7 @@
 
 mod reader;
 
-use crate::border::TargetId;
+use crate::codec::TargetId;
 use crate::exchange::notice::{self, Heartbeat, Kind, Plan, SuspectedRequests};
 use crate::shared::Shared;
 use compact_str::CompactString;
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -3,8 +3,8 @@
 //! Each is one stream: its newest records are read once, then its changes. When the history is
 //! gone, the newest records are read again. What is known stays in force while the log is away.
 
-use crate::border::TargetId;
 use crate::cluster::tail::{FollowStep, RecordSpan, Topic};
+use crate::codec::TargetId;
 use crate::config::route::Table;
 use crate::exchange::broadcast;
 use crate::shared::Shared;
--- a/crates/direct/src/exchange/notice.rs
+++ b/crates/direct/src/exchange/notice.rs
@@ -1,6 +1,6 @@
 //! The records of the entries' stream, see [`crate::exchange::entry_stream`].
 
-use crate::border::TargetId;
+use crate::codec::TargetId;
 use crate::config::route::Stage;
 use bytes::Bytes;
 use prost::Message;
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -3,8 +3,8 @@
 //! From the bottom up, each folder imports only those before it:
 //!
 //! - [`config`]: what the operator decides.
-//! - [`border`] and [`content`]: what callers and targets say, in the product's own types. A deployment's adapter
-//!   implements [`border::Codec`], and [`exchange::follow::Decode`] for records.
+//! - [`codec`] and [`buffered_request`]: what callers and targets say, in the product's own types. A deployment's adapter
+//!   implements [`codec::Codec`], and [`exchange::follow::Decode`] for records.
 //! - [`targets`]: targets as this entry knows them, and one sending to one of them.
 //! - [`cluster`]: what entries know of each other and of the log, and their messages.
 //! - [`shared`]: the state of one entry.
@@ -13,20 +13,20 @@
 //! - [`request`]: the way of a request.
 //! - [`daemon`]: all of it as a process.
 
-pub mod border;
+pub mod buffered_request;
 pub mod cluster;
+pub mod codec;
 pub mod config;
-pub mod content;
 pub mod daemon;
 pub mod durations;
 pub mod duty;
 pub mod exchange;
-pub mod journal;
-pub mod measured;
+pub mod instrumented_log;
+pub mod log_search;
+pub mod logging;
 pub mod metrics;
 pub mod probe;
 pub mod request;
 pub mod shared;
-pub mod story;
 pub mod targets;
-pub mod unknown;
+pub mod unknown_names;
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -1,6 +1,6 @@
 //! One sending of a request: permit, booking, attempt, and its answer on the way back.
 
-use crate::border::AttemptHead;
+use crate::codec::AttemptHead;
 use crate::request::answer::Body;
 use crate::request::job::Job;
 use crate::request::permits::{self, Permit};
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -5,7 +5,7 @@
 mod resume;
 mod write;
 
-use crate::border::Prompt;
+use crate::codec::Prompt;
 use crate::config::route::Stage;
 use crate::request::answer::{Body, Refusal};
 use crate::request::job::Job;
--- a/crates/direct/src/request/generate/cache.rs
+++ b/crates/direct/src/request/generate/cache.rs
@@ -1,6 +1,6 @@
 //! KV cache that waits for the engine that writes.
 
-use crate::border::KvHandle;
+use crate::codec::KvHandle;
 use crate::request::job::Job;
 use crate::targets::attempt;
 use crate::targets::target::Target;
--- a/crates/direct/src/request/generate/read.rs
+++ b/crates/direct/src/request/generate/read.rs
@@ -2,7 +2,7 @@
 
 use super::cache::Cache;
 use super::{keep, start};
-use crate::border::{AttemptHead, KvHandle, Prompt, Step};
+use crate::codec::{AttemptHead, KvHandle, Prompt, Step};
 use crate::config::route::Stage;
 use crate::request::answer::Refusal;
 use crate::request::dispatch;
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -1,7 +1,7 @@
 //! Going on with a stream that broke.
 
 use super::writer;
-use crate::border::AttemptHead;
+use crate::codec::AttemptHead;
 use crate::request::dispatch;
 use crate::request::job::Job;
 use crate::request::permits::Permit;
--- a/crates/direct/src/request/generate/write.rs
+++ b/crates/direct/src/request/generate/write.rs
@@ -3,7 +3,7 @@
 use super::read::{Place, has_read};
 use super::resume::Continuation;
 use super::writer;
-use crate::border::{AttemptHead, Prompt, Step};
+use crate::codec::{AttemptHead, Prompt, Step};
 use crate::config::route::RetryPolicy;
 use crate::request::answer::Body;
 use crate::request::dispatch;
--- a/crates/direct/src/request/intake.rs
+++ b/crates/direct/src/request/intake.rs
@@ -1,7 +1,7 @@
 //! Callers' connections: heads and bodies within limits, answers, and a stop that cuts nothing.
 
+use crate::buffered_request::BufferedRequest;
 use crate::config::route::Limits;
-use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body};
 use crate::request::serve;
 use crate::shared::Shared;
--- a/crates/direct/src/request/job.rs
+++ b/crates/direct/src/request/job.rs
@@ -1,11 +1,11 @@
 //! One request on its way: what all steps know of it.
 
-use crate::border::{AttemptHead, RequestHead};
+use crate::buffered_request::BufferedRequest;
 use crate::cluster::messages::Requester;
 use crate::cluster::suspects::{Fingerprint, fingerprint};
+use crate::codec::{AttemptHead, RequestHead};
 use crate::config::customers::Caller;
 use crate::config::route::{RetryPolicy, Route, Service, Table};
-use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body, Failure, Refusal};
 use crate::request::trace::Trace;
 use crate::shared::Shared;
--- a/crates/direct/src/request/reservation.rs
+++ b/crates/direct/src/request/reservation.rs
@@ -1,9 +1,9 @@
 //! Bookings at coordinators, and what they are told of engines.
 
-use crate::border::Part;
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
 use crate::cluster::messages::{Parts, Payload, Report, Transfer};
+use crate::codec::Part;
 use crate::exchange::coordination;
 use crate::shared::Shared;
 use crate::targets::target::Target;
--- a/crates/direct/src/request/reserve.rs
+++ b/crates/direct/src/request/reserve.rs
@@ -2,12 +2,12 @@
 //! order in which prompts with its start do. If nobody answers for a group, this entry decides by what the
 //! others told it of their work, as it would alone.
 
-use crate::border::Prompt;
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
 use crate::cluster::messages::{
     CachedPrefix, Decision, Granted, Parts, Payload, PrefillRequest, Refused,
 };
+use crate::codec::Prompt;
 use crate::request::inquiry;
 use crate::request::job::Job;
 use crate::request::permits::Permit;
--- a/crates/direct/src/request/serve.rs
+++ b/crates/direct/src/request/serve.rs
@@ -1,7 +1,7 @@
 //! The way of one request: route, quarantine, then the plain or the engines' way.
 
+use crate::buffered_request::BufferedRequest;
 use crate::config::customers::Caller;
-use crate::content::BufferedRequest;
 use crate::request::answer::{self, Body, Refusal};
 use crate::request::job::Job;
 use crate::request::trace::Trace;
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -1,6 +1,5 @@
 //! What all requests of an entry share.
 
-use crate::border::Codec;
 use crate::cluster::coordinator::Coordinator;
 use crate::cluster::groups::{self, Groups};
 use crate::cluster::loads::Loads;
@@ -9,6 +8,7 @@
 use crate::cluster::suspects::Suspects;
 use crate::cluster::tail::{Tail, Topic};
 use crate::cluster::usage::Usage;
+use crate::codec::Codec;
 use crate::config::route::{Route, RouteName, Service, Table};
 use crate::durations::Durations;
 use crate::metrics::Metrics;
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -1,7 +1,7 @@
 //! One sending of a request to one target, and what can be said of it afterwards.
 
-use crate::border::{AttemptHead, Codec, ResponseHead};
-use crate::content::BufferedRequest;
+use crate::buffered_request::BufferedRequest;
+use crate::codec::{AttemptHead, Codec, ResponseHead};
 use crate::targets::pool::{self, Connection};
 use crate::targets::target::{Health, Target};
 use bytes::Bytes;
--- a/crates/direct/src/targets/engine.rs
+++ b/crates/direct/src/targets/engine.rs
@@ -1,6 +1,6 @@
 //! What this process knows of one engine's prompts: tokens to be read there, streams, kept parts.
 
-use crate::border::{Part, PartId};
+use crate::codec::{Part, PartId};
 use crate::targets::workload::{Booked, Workload};
 use policy::Hash;
 use std::collections::{HashMap, VecDeque};
--- a/crates/direct/src/targets/fleet.rs
+++ b/crates/direct/src/targets/fleet.rs
@@ -5,7 +5,7 @@
 //! again under its id: its new life replaces the former one with all that was believed of it (stage,
 //! kept parts, connections, pauses, announced changes), and a former life never comes back.
 
-use crate::border::{Incarnation, TargetId};
+use crate::codec::{Incarnation, TargetId};
 use crate::config::route::{ServiceName, Stage};
 use crate::targets::target::{self, Target};
 use crate::targets::workload::Workload;
--- a/crates/direct/src/targets/target.rs
+++ b/crates/direct/src/targets/target.rs
@@ -4,7 +4,7 @@
 mod intake;
 mod role;
 
-use crate::border::{Incarnation, ReportedLoad, TargetId};
+use crate::codec::{Incarnation, ReportedLoad, TargetId};
 use crate::config::route::{ServiceName, Stage};
 use crate::targets::engine::Engine;
 use crate::targets::pool::Pool;
--- a/crates/direct/tests/engine.rs
+++ b/crates/direct/tests/engine.rs
@@ -1,6 +1,6 @@
 //! What an entry remembers of an engine's prompts.
 
-use direct::border::Part;
+use direct::codec::Part;
 use direct::targets::engine::Engine;
 
 fn parts(ids: &[u64]) -> Vec<Part> {
--- a/crates/direct/tests/fleet.rs
+++ b/crates/direct/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The list of targets: late records, lapses, targets that leave.
 
-use direct::border::Incarnation;
-use direct::border::Part;
+use direct::codec::Incarnation;
+use direct::codec::Part;
 use direct::config::route::Stage;
 use direct::targets::fleet::{Fleet, FleetUpdate, LogState, TargetRecord};
 use direct::targets::target::STAGE_CHANGE_TIMEOUT;
--- a/crates/direct/tests/journal.rs
+++ b/crates/direct/tests/journal.rs
@@ -1,6 +1,6 @@
 //! Log lines never delay the work.
 
-use direct::journal::QueuedAppender;
+use direct::logging::QueuedAppender;
 use logforth::Append;
 use logforth::record::Record;
 use std::io::Write;
@@ -33,5 +33,5 @@
         journal.append(&record, &[]).unwrap();
     }
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
-    assert!(direct::journal::dropped() > 90_000);
+    assert!(direct::logging::dropped() > 90_000);
 }
--- a/crates/direct/tests/layers.rs
+++ b/crates/direct/tests/layers.rs
@@ -5,15 +5,15 @@
 
 /// Layers from the bottom up; a module of the crate's root is a layer of its own.
 const LAYERS: [&str; 17] = [
-    "unknown",
-    "journal",
-    "story",
+    "unknown_names",
+    "logging",
+    "log_search",
     "probe",
     "metrics",
-    "measured",
+    "instrumented_log",
     "config",
-    "content",
-    "border",
+    "buffered_request",
+    "codec",
     "durations",
     "targets",
     "cluster",
--- a/crates/direct/tests/story.rs
+++ b/crates/direct/tests/story.rs
@@ -1,6 +1,6 @@
 //! Searches in log files, and the page that lists what can be found there.
 
-use direct::story::{Source, request, state_changes};
+use direct::log_search::{Source, request, state_changes};
 use insta::assert_snapshot;
 
 const ONE: &str = "\
