--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -1,4 +1,4 @@
-//! The datagrams by which an entry asks another to have a prompt read, see [`crate::request::reserve`] and
+//! The datagrams by which an entry asks another to have a prompt read, see [`crate::request::prefill_placement`] and
 //! [`crate::cluster::coordinator`], and by which it passes on what it has read in the log.
 //!
 //! They share a socket with [`crate::cluster::entry_state::EntryState`], whose fields have lower tags: each reader
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -1,15 +1,15 @@
 //! The process: its tasks, when it is ready, and how it stops.
 
-use crate::duty::billing::{self, Meter};
+use crate::duty::billing::{self, UsageReporter};
+use crate::duty::cache_inventory;
 use crate::duty::metering;
-use crate::duty::recall;
-use crate::duty::stages;
+use crate::duty::stage_planner;
 use crate::exchange::entry_stream::{self, StreamView};
 use crate::exchange::follow::{self, Decode};
 use crate::exchange::gossip;
 use crate::instrumented_log::Measured;
 use crate::probe;
-use crate::request::intake::Intake;
+use crate::request::server::CallerServer;
 use crate::shared::{Shared, Stop};
 use http::StatusCode;
 use plat::KeyedLog;
@@ -74,7 +74,7 @@
     readiness: TcpListener,
     metrics: TcpListener,
     peers: UdpSocket,
-    meter: Option<(Arc<dyn Meter>, billing::Settings)>,
+    meter: Option<(Arc<dyn UsageReporter>, billing::Settings)>,
     /// The addresses really bound.
     pub addresses: Addresses,
 }
@@ -100,7 +100,7 @@
 
     /// The same entry, which also bills what customers use.
     #[must_use]
-    pub fn billing(self, meter: Arc<dyn Meter>, settings: billing::Settings) -> Self {
+    pub fn billing(self, meter: Arc<dyn UsageReporter>, settings: billing::Settings) -> Self {
         Self { meter: Some((meter, settings)), ..self }
     }
 
@@ -116,7 +116,7 @@
         let peers = Arc::new(peers);
         shared.post.open(peers.clone());
         let (ending, last) = (CancellationToken::new(), CancellationToken::new());
-        let intake = Arc::new(Intake::new(stop.clone(), ending.clone()));
+        let intake = Arc::new(CallerServer::new(stop.clone(), ending.clone()));
         let mut tasks = JoinSet::new();
         tasks.spawn(follow::config(shared.clone(), log.clone(), decode.clone()));
         tasks.spawn(follow::targets(shared.clone(), log.clone(), decode));
@@ -137,8 +137,8 @@
             tasks.spawn(metering::run(shared.clone()));
             tasks.spawn(billing::run(shared.clone(), log.clone(), meter, settings, life));
         }
-        tasks.spawn(stages::run(shared.clone(), log, heard));
-        tasks.spawn(recall::run(shared.clone()));
+        tasks.spawn(stage_planner::run(shared.clone(), log, heard));
+        tasks.spawn(cache_inventory::run(shared.clone()));
         tasks.spawn(upkeep(shared.clone()));
         tasks.spawn(intake.clone().accept(shared.clone(), callers, last.clone()));
         tasks.spawn(probe::serve(readiness, ready_page(shared.clone(), stop.clone())));
@@ -158,18 +158,23 @@
 }
 
 /// Lets the balancer notice, then the callers' connections end.
-async fn drain(intake: &Intake, ending: &CancellationToken, last: &CancellationToken, stop: Stop) {
+async fn drain(
+    intake: &CallerServer,
+    ending: &CancellationToken,
+    last: &CancellationToken,
+    stop: Stop,
+) {
     let began = Instant::now();
-    log::info!(target: "process", connections = intake.open(); "stopping");
+    log::info!(target: "process", connections = intake.open_connections(); "stopping");
     tokio::time::sleep_until(stop.drain_at).await;
     ending.cancel();
-    while intake.open() > 0 && Instant::now() < stop.deadline {
+    while intake.open_connections() > 0 && Instant::now() < stop.deadline {
         if Instant::now() + DEAF >= stop.deadline {
             last.cancel();
         }
         tokio::time::sleep(LOOK).await;
     }
-    log::info!(target: "process", cut = intake.open(), ms = began.elapsed().as_millis(); "stopped");
+    log::info!(target: "process", cut = intake.open_connections(), ms = began.elapsed().as_millis(); "stopped");
 }
 
 fn ready_page(shared: Arc<Shared>, stop: CancellationToken) -> probe::Page {
--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -40,7 +40,7 @@
 
 /// What became of a report that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReportOutcome {
     /// It is known.
     Accepted,
     /// Somebody with a higher fence has reported.
@@ -49,9 +49,9 @@
 
 /// Where usage is reported.
 #[async_trait]
-pub trait Meter: Send + Sync {
+pub trait UsageReporter: Send + Sync {
     /// Reports what customers used, as the node that has the duty under this fence. May be repeated.
-    async fn report(&self, holder: &str, fence: u64, bill: &Bill) -> plat::Result<Verdict>;
+    async fn report(&self, holder: &str, fence: u64, bill: &Bill) -> plat::Result<ReportOutcome>;
 }
 
 /// Settings of the duty.
@@ -82,7 +82,7 @@
 pub async fn run(
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    meter: Arc<dyn Meter>,
+    meter: Arc<dyn UsageReporter>,
     settings: Settings,
     life: Life,
 ) {
@@ -117,7 +117,7 @@
 struct Biller {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    meter: Arc<dyn Meter>,
+    meter: Arc<dyn UsageReporter>,
     life: Life,
     settings: tenure::Settings,
     tenure: Tenure,
@@ -289,11 +289,11 @@
             let Some((window, counts)) = self.open.first_key_value() else { return Ok(()) };
             let bill = Bill { window: *window, counts: counts.clone() };
             match self.meter.report(&self.shared.settings.name, fence, &bill).await? {
-                Verdict::Accepted => {
+                ReportOutcome::Accepted => {
                     log::info!(target: "billing", window = bill.window, fence; "usage reported");
                     self.open.remove(&bill.window);
                 }
-                Verdict::Superseded => {
+                ReportOutcome::Superseded => {
                     log::warn!(target: "billing", fence; "another entry has the duty");
                     self.tenure.yields(self.end, since_boot());
                 }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,19 +1,19 @@
-//! The way of a request: `intake`, `serve`, `plain` or `generate`, `dispatch`, `relay`, `answer`. A `job` is what
+//! The way of a request: `server`, `serve`, `plain` or `generate`, `dispatch`, `relay`, `response`. A `context` is what
 //! all steps know of it.
 
-pub mod answer;
+pub mod attempts;
+pub mod context;
+pub mod coordinator_client;
+pub mod decode_placement;
 pub mod dispatch;
 pub mod events;
 pub mod generate;
-pub mod inquiry;
-pub mod intake;
-pub mod job;
 pub mod permits;
-pub mod places;
 pub mod plain;
+pub mod prefill_placement;
 pub mod relay;
 pub mod reservation;
-pub mod reserve;
+pub mod response;
 pub mod serve;
+pub mod server;
 pub mod trace;
-pub mod tries;
--- a/crates/direct/src/request/tries.rs
+++ b/crates/direct/src/request/attempts.rs
@@ -1,9 +1,9 @@
 //! The sendings of one request: which targets were tried, whether there may be another, and what
 //! the caller is told when none answered.
 
-use crate::request::answer::{Body, Failure, Refusal};
-use crate::request::job::{Job, SHORTLY};
+use crate::request::context::{Job, SHORTLY};
 use crate::request::permits;
+use crate::request::response::{Body, Failure, Refusal};
 use crate::request::trace::Trace;
 use crate::targets::attempt::Outcome;
 use crate::targets::target::Target;
--- a/crates/direct/src/request/job.rs
+++ b/crates/direct/src/request/context.rs
@@ -6,7 +6,7 @@
 use crate::codec::{AttemptHead, RequestHead};
 use crate::config::customers::Caller;
 use crate::config::route::{RetryPolicy, Route, Service, Table};
-use crate::request::answer::{self, Body, Failure, Refusal};
+use crate::request::response::{self, Body, Failure, Refusal};
 use crate::request::trace::Trace;
 use crate::shared::Shared;
 use crate::targets::target::Target;
@@ -157,12 +157,12 @@
     /// Refuses it: it has not run.
     pub fn refuse(&self, trace: &mut Trace, refusal: Refusal, back: Duration) -> Response<Body> {
         trace.end(refusal.name());
-        answer::refuse(refusal, back)
+        response::refuse(refusal, back)
     }
 
     /// Fails it: it may have run.
     pub fn fail(&self, trace: &mut Trace, failure: Failure) -> Response<Body> {
         trace.end(failure.name());
-        answer::fail(failure)
+        response::fail(failure)
     }
 }
--- a/crates/direct/src/request/inquiry.rs
+++ b/crates/direct/src/request/coordinator_client.rs
@@ -9,7 +9,7 @@
 use crate::cluster::groups::{Group, Member};
 use crate::cluster::messages::{Decision, Payload, Response};
 use crate::exchange::coordination;
-use crate::request::job::Job;
+use crate::request::context::Job;
 use crate::shared::Shared;
 use policy::bookings::BookingId;
 use std::time::Duration;
--- a/crates/direct/src/request/places.rs
+++ b/crates/direct/src/request/decode_placement.rs
@@ -4,15 +4,15 @@
 //! at once, while streams of seconds come and go there. **Without it** each entry goes by what the
 //! others told it 85 to 300 ms ago, in which time ten others have chosen: prompts that were read in time
 //! wait for a place or for the link of one engine while others are free. **How.** As for prompts, see
-//! [`crate::request::reserve`]: the group of the engine that read the prompt is asked first, since KV cache takes
+//! [`crate::request::prefill_placement`]: the group of the engine that read the prompt is asked first, since KV cache takes
 //! half as long within a failure domain, and others if its engines are half full. If nobody answers, the
 //! entry chooses by what it knows.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
 use crate::cluster::messages::{Decision, DecodeRequest, Payload};
-use crate::request::inquiry;
-use crate::request::job::Job;
+use crate::request::context::Job;
+use crate::request::coordinator_client;
 use crate::request::permits::Permit;
 use crate::request::reservation::Reservation;
 use crate::targets::target::Target;
@@ -50,7 +50,8 @@
     for (at, filled) in order(job, &groups, near).into_iter().zip(FILLED) {
         let group = &groups[at];
         let make = |booking| Payload::DecodeRequest(ask(job, group, tried, booking, filled));
-        let (answer, coordinator) = inquiry::ask(job, group, job.route.objective, make).await?;
+        let (answer, coordinator) =
+            coordinator_client::ask(job, group, job.route.objective, make).await?;
         if let Some(Decision::Granted(granted)) = answer.decision {
             let engine =
                 group.engines.iter().find(|e| short_hash(e.key) == granted.engine)?.clone();
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -1,10 +1,10 @@
 //! One sending of a request: permit, booking, attempt, and its answer on the way back.
 
 use crate::codec::AttemptHead;
-use crate::request::answer::Body;
-use crate::request::job::Job;
+use crate::request::context::Job;
 use crate::request::permits::{self, Permit};
 use crate::request::relay::{Booking, Relay, Resume, Source};
+use crate::request::response::Body;
 use crate::request::trace::Trace;
 use crate::targets::attempt::{self, Outcome};
 use crate::targets::engine::StreamGuard;
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -7,9 +7,9 @@
 
 use crate::codec::Prompt;
 use crate::config::route::Stage;
-use crate::request::answer::{Body, Refusal};
-use crate::request::job::Job;
+use crate::request::context::Job;
 use crate::request::reservation;
+use crate::request::response::{Body, Refusal};
 use crate::request::trace::Trace;
 use crate::request::{permits, plain};
 use crate::targets::target::{Target, TransferDirection};
--- a/crates/direct/src/request/generate/cache.rs
+++ b/crates/direct/src/request/generate/cache.rs
@@ -1,7 +1,7 @@
 //! KV cache that waits for the engine that writes.
 
 use crate::codec::KvHandle;
-use crate::request::job::Job;
+use crate::request::context::Job;
 use crate::targets::attempt;
 use crate::targets::target::Target;
 use http::Method;
--- a/crates/direct/src/request/generate/read.rs
+++ b/crates/direct/src/request/generate/read.rs
@@ -4,12 +4,12 @@
 use super::{keep, start};
 use crate::codec::{AttemptHead, KvHandle, Prompt, Step};
 use crate::config::route::Stage;
-use crate::request::answer::Refusal;
+use crate::request::context::{Job, SHORTLY};
 use crate::request::dispatch;
-use crate::request::job::{Job, SHORTLY};
 use crate::request::permits::Permit;
+use crate::request::prefill_placement;
 use crate::request::reservation::Reservation;
-use crate::request::reserve;
+use crate::request::response::Refusal;
 use crate::request::trace::Trace;
 use crate::targets::attempt::{self, Outcome};
 use crate::targets::target::{Target, TransferDirection};
@@ -158,15 +158,15 @@
     wanted: &prompts::Prompt,
     tried: &[Arc<Target>],
 ) -> Found {
-    match reserve::find(job, prompt, wanted, tried).await {
-        reserve::Found::Booked(reserved) => {
-            let reserve::Reserved { engine, fetch, tokens, waiting, permit, reservation } =
+    match prefill_placement::find(job, prompt, wanted, tried).await {
+        prefill_placement::Found::Booked(reserved) => {
+            let prefill_placement::Reserved { engine, fetch, tokens, waiting, permit, reservation } =
                 reserved;
             let reservation = Some(reservation);
             Found::At(There { engine, fetch, tokens, waiting, permit, reservation })
         }
-        reserve::Found::Full { soonest, kept } => Found::Full { soonest, kept },
-        reserve::Found::Unheard(engines) => alone(job, prompt, wanted, &engines, tried),
+        prefill_placement::Found::Full { soonest, kept } => Found::Full { soonest, kept },
+        prefill_placement::Found::Unheard(engines) => alone(job, prompt, wanted, &engines, tried),
     }
 }
 
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -2,8 +2,8 @@
 
 use super::writer;
 use crate::codec::AttemptHead;
+use crate::request::context::Job;
 use crate::request::dispatch;
-use crate::request::job::Job;
 use crate::request::permits::Permit;
 use crate::request::relay::{Resume, Source};
 use crate::targets::attempt::Outcome;
--- a/crates/direct/src/request/generate/write.rs
+++ b/crates/direct/src/request/generate/write.rs
@@ -5,15 +5,15 @@
 use super::writer;
 use crate::codec::{AttemptHead, Prompt, Step};
 use crate::config::route::RetryPolicy;
-use crate::request::answer::Body;
+use crate::request::attempts::Tries;
+use crate::request::context::Job;
+use crate::request::decode_placement;
 use crate::request::dispatch;
-use crate::request::job::Job;
 use crate::request::permits::Permit;
-use crate::request::places;
 use crate::request::relay::{Booking, Source};
 use crate::request::reservation::{self, Reservation};
+use crate::request::response::Body;
 use crate::request::trace::Trace;
-use crate::request::tries::Tries;
 use crate::targets::attempt::{Answered, Outcome};
 use crate::targets::target::{Target, TransferDirection};
 use http::Response;
@@ -90,12 +90,12 @@
     }
 
     /// Books a place, unless the engine that read the prompt writes as well.
-    async fn place(&self) -> Option<places::Place> {
+    async fn place(&self) -> Option<decode_placement::Place> {
         let tried = &self.tries.targets;
         if matches!(self.place, Place::There(_)) && tried.is_empty() {
             return None;
         }
-        let place = places::find(&self.job, tried, self.place.near(&self.job)).await;
+        let place = decode_placement::find(&self.job, tried, self.place.near(&self.job)).await;
         place.filter(|place| place.engine.check_open(Instant::now()).is_ok())
     }
 
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -8,8 +8,8 @@
 use crate::cluster::messages::{Decision, Payload, PermitRequest, TargetLimit};
 use crate::config::route::Stage;
 use crate::exchange::coordination;
-use crate::request::inquiry;
-use crate::request::job::Job;
+use crate::request::context::Job;
+use crate::request::coordinator_client;
 use crate::shared::Shared;
 use crate::targets::target::Target;
 use policy::prompts;
@@ -71,7 +71,7 @@
         })
     };
     let room = match groups::group_of(&groups, target) {
-        Some(group) => inquiry::ask(job, group, job.route.objective, make).await,
+        Some(group) => coordinator_client::ask(job, group, job.route.objective, make).await,
         None => None,
     };
     let (kind, after) = match room.and_then(|(answer, _)| answer.decision) {
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -1,12 +1,12 @@
 //! Requests to plain services, and to engines that do all of a request by themselves.
 
-use crate::request::answer::Body;
+use crate::request::attempts::Tries;
+use crate::request::context::Job;
 use crate::request::dispatch;
-use crate::request::job::Job;
 use crate::request::permits::Permit;
 use crate::request::relay::Source;
+use crate::request::response::Body;
 use crate::request::trace::Trace;
-use crate::request::tries::Tries;
 use crate::targets::attempt::Outcome;
 use crate::targets::target::Target;
 use http::Response;
--- a/crates/direct/src/request/reserve.rs
+++ b/crates/direct/src/request/prefill_placement.rs
@@ -8,8 +8,8 @@
     CachedPrefix, Decision, Granted, Parts, Payload, PrefillRequest, Refused,
 };
 use crate::codec::Prompt;
-use crate::request::inquiry;
-use crate::request::job::Job;
+use crate::request::context::Job;
+use crate::request::coordinator_client;
 use crate::request::permits::Permit;
 use crate::request::reservation::{Reservation, order};
 use crate::targets::target::Target;
@@ -116,7 +116,8 @@
     async fn ask(&mut self, group: &Group, writers: bool) -> Reply {
         let make = |booking| Payload::PrefillRequest(self.question(group, writers, booking));
         let objective = self.wanted.objective;
-        let Some((answer, coordinator)) = inquiry::ask(self.job, group, objective, make).await
+        let Some((answer, coordinator)) =
+            coordinator_client::ask(self.job, group, objective, make).await
         else {
             return Reply::Silence;
         };
--- a/crates/direct/src/request/serve.rs
+++ b/crates/direct/src/request/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::buffered_request::BufferedRequest;
 use crate::config::customers::Caller;
-use crate::request::answer::{self, Body, Refusal};
-use crate::request::job::Job;
+use crate::request::context::Job;
+use crate::request::response::{self, Body, Refusal};
 use crate::request::trace::Trace;
 use crate::request::{generate, plain};
 use crate::shared::Shared;
@@ -29,13 +29,13 @@
     arrived: Instant,
 ) -> Response<Body> {
     let Some(table) = shared.table.borrow().clone() else {
-        return answer::refuse(Refusal::NoConfiguration, SOON);
+        return response::refuse(Refusal::NoConfiguration, SOON);
     };
     let host = content.headers.get(http::header::HOST).and_then(|host| host.to_str().ok());
     let Some(route) = table.find(host.unwrap_or_default(), content.path.path()).cloned() else {
         log::info!(target: "request", path = content.path.path(), version = table.version;
             "no route");
-        return answer::own(StatusCode::NOT_FOUND, "no route");
+        return response::own(StatusCode::NOT_FOUND, "no route");
     };
     let ask = shared.codec.decode_request(&content.headers);
     let attempt = ask.attempt_id.clone().unwrap_or_default();
@@ -43,24 +43,24 @@
     let mut trace = Trace::new(attempt, route.name.clone(), version, arrived, shared.clone());
     let Ok(caller) = table.caller(&route, ask.credential) else {
         trace.end(UNAUTHORIZED);
-        return answer::unauthorized();
+        return response::unauthorized();
     };
     if matches!(caller, Caller::Customer(_)) && !shared.keys_are_fresh(Instant::now()) {
         trace.end(Refusal::KeysUnsure.name());
-        return answer::refuse(Refusal::KeysUnsure, AT_ONCE);
+        return response::refuse(Refusal::KeysUnsure, AT_ONCE);
     }
     let Some(job) = Job::new(shared, content, ask, caller, route, &table, arrived) else {
         trace.end(Refusal::NoTarget.name());
-        return answer::refuse(Refusal::NoTarget, SOON);
+        return response::refuse(Refusal::NoTarget, SOON);
     };
     if job.ends_too_late() {
         trace.end(Refusal::Stopping.name());
-        return answer::refuse(Refusal::Stopping, AT_ONCE);
+        return response::refuse(Refusal::Stopping, AT_ONCE);
     }
     job.shared.book_request(&job.service.name);
     if job.shared.suspects.is_blocked(job.fingerprint) {
         trace.end(Refusal::Quarantined.name());
-        return answer::refuse(Refusal::Quarantined, job.route.timeout);
+        return response::refuse(Refusal::Quarantined, job.route.timeout);
     }
     let job = Arc::new(job);
     match (&job.service.engine, &job.ask.prompt) {
--- a/crates/direct/src/request/intake.rs
+++ b/crates/direct/src/request/server.rs
@@ -2,7 +2,7 @@
 
 use crate::buffered_request::BufferedRequest;
 use crate::config::route::Limits;
-use crate::request::answer::{self, Body};
+use crate::request::response::{self, Body};
 use crate::request::serve;
 use crate::shared::Shared;
 use http::{HeaderValue, Request, Response, StatusCode, header};
@@ -38,7 +38,7 @@
 
 /// Callers' connections of one entry.
 #[derive(Debug)]
-pub struct Intake {
+pub struct CallerServer {
     open: AtomicUsize,
     /// Set once answers are to be the last of their connections.
     closing: CancellationToken,
@@ -46,14 +46,14 @@
     ending: CancellationToken,
 }
 
-impl Intake {
+impl CallerServer {
     /// No connections yet.
     pub fn new(closing: CancellationToken, ending: CancellationToken) -> Self {
         Self { open: AtomicUsize::new(0), closing, ending }
     }
 
     /// How many connections are open.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
@@ -148,10 +148,10 @@
     let body = match tokio::time::timeout(limits.idle_timeout, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Err(answer::own(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
+            return Err(response::own(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
         }
-        Ok(Err(_)) => return Err(answer::own(StatusCode::BAD_REQUEST, "body cut off")),
-        Err(_) => return Err(answer::own(StatusCode::REQUEST_TIMEOUT, "body too slow")),
+        Ok(Err(_)) => return Err(response::own(StatusCode::BAD_REQUEST, "body cut off")),
+        Err(_) => return Err(response::own(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     };
     Ok(BufferedRequest { method: head.method, path: head.uri, headers: head.headers, body })
 }
