--- a/crates/agent/src/job.rs
+++ b/crates/agent/src/job.rs
@@ -6,7 +6,7 @@
 use crate::shared::Shared;
 use crate::{Backend, calls, perform, prompt};
 use compact_str::ToCompactString;
-use policy::admission::{self, Admission, View};
+use policy::admission::{self, Admission, TargetState};
 use policy::estimate::Cost;
 use std::sync::Arc;
 use std::time::Duration;
@@ -127,9 +127,9 @@
         return Ok(());
     }
     let ahead = shared.ahead(&job.request.caller, job.request.urgent);
-    let view = View { ahead, rates: shared.rates(), accepting: true };
+    let view = TargetState { ahead, rates: shared.rates(), accepting: true };
     let left = job.expires.saturating_duration_since(Instant::now());
-    let asked = admission::Ask { cost, deadline: Some(left) };
+    let asked = admission::Request { cost, deadline: Some(left) };
     let decided = Admission::default().decide(&asked, &view, Duration::ZERO);
     decided.map(drop).map_err(|refused| {
         let refusal = not_run("overloaded", "the work ahead takes longer than that");
--- a/crates/agent/src/suspects.rs
+++ b/crates/agent/src/suspects.rs
@@ -4,7 +4,7 @@
 //! its caller sends it again. After one crash it runs alone; after the second the fleet refuses it.
 
 use crate::shared::Shared;
-use policy::quarantine::{History, Quarantine, Records, Verdict};
+use policy::quarantine::{CrashHistory, CrashRecords, Quarantine, Verdict};
 use state::record::{Body, Suspicion};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -44,18 +44,18 @@
     shared: &'a Shared,
 }
 
-impl Records for View<'_> {
-    fn history(&self, fingerprint: u64) -> History {
+impl CrashRecords for View<'_> {
+    fn history(&self, fingerprint: u64) -> CrashHistory {
         let seen = self.shared.suspects.lock().get(&fingerprint).copied().unwrap_or_default();
         let system = self.shared.system.borrow();
         let suspect = system.suspect(fingerprint);
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let crashes = suspect.map_or(0, |suspect| count(suspect.crashes().count()));
         let alone = suspect.map_or(0, |s| count(s.crashes().filter(|c| c.alone).count()));
-        History {
+        CrashHistory {
             crashes: crashes.max(seen.crashes),
             alone: alone.max(seen.alone),
-            on_trial: false,
+            running_alone: false,
         }
     }
 }
--- a/crates/direct/src/cluster/coordinator.rs
+++ b/crates/direct/src/cluster/coordinator.rs
@@ -3,7 +3,7 @@
 mod permits;
 
 use policy::Hash;
-use policy::bookings::Bookings;
+use policy::reservations::Reservations;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -23,9 +23,9 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Prompts to be read, by engine.
-    engines: HashMap<Hash, Bookings>,
+    engines: HashMap<Hash, Reservations>,
     /// Streams, by engine.
-    places: HashMap<Hash, Bookings>,
+    places: HashMap<Hash, Reservations>,
     /// When each group was first asked for here.
     since: HashMap<Hash, Instant>,
 }
@@ -49,7 +49,7 @@
     pub fn queued_tokens(&self, engine: Hash, now: Instant) -> u64 {
         let time = self.time(now);
         let mut inner = self.lock();
-        inner.engines.get_mut(&engine).map_or(0, |bookings| bookings.waiting(time))
+        inner.engines.get_mut(&engine).map_or(0, |bookings| bookings.total(time))
     }
 
     /// Whether this entry was first asked for a group only lately.
@@ -68,14 +68,14 @@
         if inner.engines.len() >= MAX_REMEMBERED {
             inner.engines.clear();
         }
-        inner.engines.entry(engine).or_default().book(booking, tokens, time);
+        inner.engines.entry(engine).or_default().reserve(booking, tokens, time);
     }
 
     /// Streams at an engine as far as this entry granted them.
     pub fn streams(&self, engine: Hash, now: Instant) -> u32 {
         let time = self.time(now);
         let mut inner = self.lock();
-        let streams = inner.places.get_mut(&engine).map_or(0, |places| places.waiting(time));
+        let streams = inner.places.get_mut(&engine).map_or(0, |places| places.total(time));
         u32::try_from(streams).unwrap_or(u32::MAX)
     }
 
@@ -86,7 +86,7 @@
         if inner.places.len() >= MAX_REMEMBERED {
             inner.places.clear();
         }
-        inner.places.entry(engine).or_default().book_for(booking, 1, time, span);
+        inner.places.entry(engine).or_default().reserve_for(booking, 1, time, span);
     }
 
     /// Ends a booking.
@@ -94,7 +94,7 @@
         let inner = &mut *self.lock();
         for engines in [&mut inner.engines, &mut inner.places] {
             if let Some(bookings) = engines.get_mut(&engine) {
-                bookings.end(booking);
+                bookings.release(booking);
             }
         }
     }
--- a/crates/direct/src/cluster/coordinator/permits.rs
+++ b/crates/direct/src/cluster/coordinator/permits.rs
@@ -2,7 +2,7 @@
 
 use super::MAX_REMEMBERED;
 use policy::Hash;
-use policy::pacing::{self, Limit, Pacer, Rate};
+use policy::pacing::{self, Pacer, Rate, RateLimit};
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// A target that named a limit.
 #[derive(Debug, Default)]
 struct Limited {
-    limit: Limit,
+    limit: RateLimit,
     pacer: Option<Pacer>,
 }
 
@@ -39,7 +39,7 @@
         if targets.len() >= MAX_REMEMBERED {
             targets.clear();
         }
-        targets.entry(target).or_default().limit.hear(rate, sent, heard);
+        targets.entry(target).or_default().limit.observe(rate, sent, heard);
     }
 
     /// Gives a permit out of this part of a target's limit, or says when to ask again. Returns whether one
@@ -48,13 +48,13 @@
         &self,
         target: Hash,
         part: impl FnOnce() -> f64,
-        ask: pacing::Ask,
+        ask: pacing::Requester,
         now: Instant,
     ) -> Result<bool, Duration> {
         let now = self.time(now);
         let mut targets = self.lock();
         let Some(pacer) = pacer(&mut targets, target, part, now) else { return Ok(false) };
-        pacer.take(ask, now).map(|()| true)
+        pacer.acquire(ask, now).map(|()| true)
     }
 
     /// Whether there is a permit for a request of this rank, or how long until there is.
@@ -62,12 +62,12 @@
         &self,
         target: Hash,
         part: impl FnOnce() -> f64,
-        rank: pacing::Rank,
+        rank: pacing::Priority,
         now: Instant,
     ) -> Result<(), Duration> {
         let now = self.time(now);
         let mut targets = self.lock();
-        pacer(&mut targets, target, part, now).map_or(Ok(()), |pacer| pacer.look(rank, now))
+        pacer(&mut targets, target, part, now).map_or(Ok(()), |pacer| pacer.check(rank, now))
     }
 
     fn time(&self, now: Instant) -> policy::Time {
--- a/crates/direct/src/cluster/loads.rs
+++ b/crates/direct/src/cluster/loads.rs
@@ -2,8 +2,8 @@
 //! and told among the entries, so that each of them can plan for all.
 
 use crate::cluster::entry_state::{self, ServiceLoad};
-use policy::demand::{Pace, Step};
-use policy::prompts::Rate;
+use policy::demand::{EngineProfile, TokenTime};
+use policy::prefill::PrefillRate;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -19,8 +19,8 @@
     own: u64,
     /// The same of the others, since this entry has heard of them.
     others: u64,
-    rate: Option<Rate>,
-    step: Step,
+    rate: Option<PrefillRate>,
+    step: TokenTime,
     /// Seconds for a token as another entry has learnt it.
     told: Option<f64>,
 }
@@ -36,7 +36,7 @@
     pub fn record_prefill(&self, service: &str, assumed: f64, tokens: u64, took: Duration) {
         let mut loads = self.lock();
         let load = loads.entry(key(service)).or_default();
-        load.rate.get_or_insert_with(|| Rate::new(assumed)).sample(tokens, took);
+        load.rate.get_or_insert_with(|| PrefillRate::new(assumed)).sample(tokens, took);
     }
 
     /// Takes in that `tokens` tokens of a stream took this long.
@@ -46,16 +46,16 @@
 
     /// Tokens that an engine reads in a second, once anything is known.
     pub fn prefill_rate(&self, service: &str) -> Option<f64> {
-        self.lock().get(&key(service)).and_then(|load| load.rate).map(Rate::get)
+        self.lock().get(&key(service)).and_then(|load| load.rate).map(PrefillRate::get)
     }
 
     /// What one engine does that writes `places` streams at once, once it is known.
-    pub fn engine_profile(&self, service: &str, places: u32) -> Option<Pace> {
+    pub fn engine_profile(&self, service: &str, places: u32) -> Option<EngineProfile> {
         let loads = self.lock();
         let load = loads.get(&key(service))?;
-        let reading = load.rate.filter(|rate| rate.is_known())?.get();
+        let reading = load.rate.filter(|rate| rate.is_learned())?.get();
         let step = load.step.get().or(load.told)?;
-        Some(Pace { reading, step, places })
+        Some(EngineProfile { prefill_rate: reading, token_time: step, max_streams: places })
     }
 
     /// Tokens to be read that were asked of all entries so far.
@@ -67,11 +67,11 @@
     pub fn snapshot(&self) -> Vec<ServiceLoad> {
         let loads = self.lock();
         let rows = loads.iter().map(|(service, load)| {
-            let known = load.rate.filter(|rate| rate.is_known());
+            let known = load.rate.filter(|rate| rate.is_learned());
             ServiceLoad {
                 service: *service,
                 requested_tokens: load.own,
-                rate: known.map_or(0.0, Rate::get),
+                rate: known.map_or(0.0, PrefillRate::get),
                 step: load.step.get().unwrap_or_default(),
             }
         });
@@ -89,8 +89,8 @@
             load.told = Some(told.step);
         }
         // One that has not learnt it takes over what another has; later each learns by itself.
-        if told.rate > 0.0 && !load.rate.is_some_and(Rate::is_known) {
-            load.rate = Some(Rate::known(told.rate));
+        if told.rate > 0.0 && !load.rate.is_some_and(PrefillRate::is_learned) {
+            load.rate = Some(PrefillRate::learned(told.rate));
         }
     }
 
--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -6,8 +6,8 @@
 //! 0 names none.
 
 use crate::codec::Part;
-use policy::bookings::BookingId;
 use policy::pacing;
+use policy::reservations::ReservationId;
 use prost::Message;
 
 /// One datagram.
@@ -94,7 +94,7 @@
 pub struct PrefillRequest {
     /// The name that its booking will have.
     #[prost(fixed64, tag = "1")]
-    pub reservation: BookingId,
+    pub reservation: ReservationId,
     /// The group.
     #[prost(fixed64, tag = "2")]
     pub group: u64,
@@ -135,7 +135,7 @@
 pub struct DecodeRequest {
     /// The name that its booking will have.
     #[prost(fixed64, tag = "1")]
-    pub reservation: BookingId,
+    pub reservation: ReservationId,
     /// The group.
     #[prost(fixed64, tag = "2")]
     pub group: u64,
@@ -164,7 +164,7 @@
 pub struct PermitRequest {
     /// The name of the question.
     #[prost(fixed64, tag = "1")]
-    pub reservation: BookingId,
+    pub reservation: ReservationId,
     /// The service.
     #[prost(fixed32, tag = "2")]
     pub service: u32,
@@ -192,9 +192,9 @@
 
 impl Requester {
     /// Who asks for a permit; ranks beyond the least urgent are that.
-    pub fn ask(&self) -> pacing::Ask {
-        let rank = pacing::Rank::try_from(self.priority).unwrap_or(pacing::Rank::MAX);
-        pacing::Ask { entry: self.entry, rank }
+    pub fn ask(&self) -> pacing::Requester {
+        let rank = pacing::Priority::try_from(self.priority).unwrap_or(pacing::Priority::MAX);
+        pacing::Requester { entry: self.entry, priority: rank }
     }
 }
 
@@ -245,7 +245,7 @@
 pub struct Response {
     /// The booking that the question named.
     #[prost(fixed64, tag = "1")]
-    pub reservation: BookingId,
+    pub reservation: ReservationId,
     /// Whether there is room.
     #[prost(oneof = "Decision", tags = "2, 3, 4")]
     pub decision: Option<Decision>,
@@ -308,7 +308,7 @@
 pub struct Report {
     /// The booking that ends; 0 if there was none.
     #[prost(fixed64, tag = "1")]
-    pub reservation: BookingId,
+    pub reservation: ReservationId,
     /// The engine.
     #[prost(fixed32, tag = "2")]
     pub engine: u32,
--- a/crates/direct/src/cluster/peer_socket.rs
+++ b/crates/direct/src/cluster/peer_socket.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::messages::{Envelope, Payload, Response};
 use policy::Hash;
-use policy::bookings::BookingId;
+use policy::reservations::ReservationId;
 use prost::Message;
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: OnceLock<Arc<UdpSocket>>,
-    waiting: Mutex<HashMap<BookingId, oneshot::Sender<Response>>>,
+    waiting: Mutex<HashMap<ReservationId, oneshot::Sender<Response>>>,
     /// Entries that did not answer lately, with the time until which they are not asked.
     silent: Mutex<HashMap<Hash, Instant>>,
     next: AtomicU64,
@@ -27,14 +27,14 @@
 #[derive(Debug)]
 pub struct Question<'a> {
     post: &'a PeerSocket,
-    booking: BookingId,
+    booking: ReservationId,
     /// Resolves to the answer.
     pub response: oneshot::Receiver<Response>,
 }
 
 impl PeerSocket {
     /// Names of bookings count from `first`, which has to be another in each process.
-    pub fn new(first: BookingId) -> Self {
+    pub fn new(first: ReservationId) -> Self {
         let (socket, waiting, silent) = (OnceLock::new(), Mutex::default(), Mutex::default());
         Self { socket, waiting, silent, next: AtomicU64::new(first) }
     }
@@ -47,13 +47,13 @@
     }
 
     /// A name for a booking.
-    pub fn unique_id(&self) -> BookingId {
+    pub fn unique_id(&self) -> ReservationId {
         // 0 names none.
         self.next.fetch_add(1, Ordering::Relaxed).max(1)
     }
 
     /// Waits for the answer to a question.
-    pub fn expect_response(&self, booking: BookingId) -> Question<'_> {
+    pub fn expect_response(&self, booking: ReservationId) -> Question<'_> {
         let (sender, answer) = oneshot::channel();
         self.waiting().insert(booking, sender);
         Question { post: self, booking, response: answer }
@@ -104,7 +104,7 @@
         }
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<BookingId, oneshot::Sender<Response>>> {
+    fn waiting(&self) -> MutexGuard<'_, HashMap<ReservationId, oneshot::Sender<Response>>> {
         self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/direct/src/cluster/usage.rs
+++ b/crates/direct/src/cluster/usage.rs
@@ -8,7 +8,7 @@
 use crate::cluster::groups::Member;
 use crate::cluster::messages::{BillingProgress, Payload, UsageCounts};
 use crate::config::customers::CustomerName;
-use policy::usage::{Counts, Ledger, Life, Own, Row, Window};
+use policy::usage::{Counts, Incarnation, Ledger, OwnCounts, Row, WindowIndex};
 use policy::{Hash, Time};
 use std::sync::{Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::Duration;
@@ -47,8 +47,8 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    life: Life,
-    own: Own,
+    life: Incarnation,
+    own: OwnCounts,
     ledger: Ledger,
     /// The last bill of another's that was heard of, and when, by the time since the VM started.
     billed: Option<(BillingProgress, Time)>,
@@ -56,7 +56,7 @@
 
 impl Usage {
     /// Counts from now on, in windows of this length; `life` tells this run of the process from others.
-    pub fn start(&self, window: Duration, life: Life) {
+    pub fn start(&self, window: Duration, life: Incarnation) {
         if self.window.set(window).is_err() {
             log::warn!(target: "usage", "a second length of windows is left alone");
         }
@@ -64,13 +64,13 @@
     }
 
     /// The window that holds a moment, by the true time of day.
-    pub fn window_at(&self, moment: Duration) -> Option<Window> {
+    pub fn window_at(&self, moment: Duration) -> Option<WindowIndex> {
         let window = self.window.get()?;
         u64::try_from(moment.as_micros() / window.as_micros().max(1)).ok()
     }
 
     /// When a window ends, by the true time of day.
-    pub fn window_end(&self, window: Window) -> Duration {
+    pub fn window_end(&self, window: WindowIndex) -> Duration {
         let length = self.window.get().copied().unwrap_or_default();
         let micros = length.as_micros().saturating_mul(u128::from(window) + 1);
         Duration::from_micros(u64::try_from(micros).unwrap_or(u64::MAX))
@@ -82,7 +82,7 @@
         let mut inner = self.lock();
         let count = inner.own.count(window, customer);
         let (life, row) = (inner.life, Row { customer: customer.clone(), count });
-        inner.ledger.take(life, window, [row]);
+        inner.ledger.merge(life, window, [row]);
     }
 
     /// Takes in how far another entry has counted.
@@ -90,7 +90,7 @@
         let UsageCounts { incarnation: life, window, customers, counts } = used;
         let rows = customers.into_iter().zip(counts);
         let rows = rows.map(|(customer, count)| Row { customer: customer.into(), count });
-        self.lock().ledger.take(life, window, rows);
+        self.lock().ledger.merge(life, window, rows);
     }
 
     /// Takes in that another entry has written a bill.
@@ -107,18 +107,18 @@
     }
 
     /// What all customers used in a window, as far as it was told.
-    pub fn totals(&self, window: Window) -> Counts {
-        self.lock().ledger.sums(window)
+    pub fn totals(&self, window: WindowIndex) -> Counts {
+        self.lock().ledger.totals(window)
     }
 
     /// The first window that may still be billed, of which anything is known.
-    pub fn first_billable(&self, present: Window) -> Option<Window> {
-        self.lock().ledger.first(present)
+    pub fn first_billable(&self, present: WindowIndex) -> Option<WindowIndex> {
+        self.lock().ledger.oldest_recent(present)
     }
 
     /// Forgets windows far from the present one: each would take memory for as long as the process lives.
-    pub fn prune(&self, present: Window) {
-        self.lock().ledger.forget(present);
+    pub fn prune(&self, present: WindowIndex) {
+        self.lock().ledger.prune(present);
     }
 
     /// How long until this entry tells the billers what is due.
@@ -133,11 +133,11 @@
     pub fn pending_updates(&self, all: bool) -> Vec<Payload> {
         let mut inner = self.lock();
         if all {
-            inner.own.repeat();
+            inner.own.mark_all_due();
         }
         let life = inner.life;
         let mut words = Vec::new();
-        for (window, rows) in inner.own.due() {
+        for (window, rows) in inner.own.take_due() {
             for rows in rows.chunks(MAX_ROWS) {
                 let customers = rows.iter().map(|row| row.customer.to_string()).collect();
                 let counts = rows.iter().map(|row| row.count).collect();
--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -2,7 +2,7 @@
 //!
 //! The holder fixes the counts of a window in a stream of the log before it reports them. Whoever follows
 //! it finds there what may have been reported, and reports exactly that: a report without an answer may
-//! still be carried out later. The record is the lease as well, see [`policy::tenure`], and its offset
+//! still be carried out later. The record is the lease as well, see [`policy::lease`], and its offset
 //! the fence. In a calm time a window costs one record and one report; the others hear of the record by
 //! datagram, and read the stream only when a bill is overdue.
 //!
@@ -20,8 +20,8 @@
 use async_trait::async_trait;
 use plat::epoch::{Epoch, epoch, place};
 use plat::{Entry, KeyedLog, Offset};
-use policy::tenure::{self, Tenure};
-use policy::usage::{Counts, Life, Window};
+use policy::lease::{self, Lease};
+use policy::usage::{Counts, Incarnation, WindowIndex};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Bill {
     /// The window.
-    pub window: Window,
+    pub window: WindowIndex,
     /// Requests that began to run in it, by customer.
     pub counts: Counts,
 }
@@ -84,13 +84,13 @@
     log: Arc<dyn KeyedLog>,
     meter: Arc<dyn UsageReporter>,
     settings: Settings,
-    life: Life,
+    life: Incarnation,
 ) {
-    let tenure = tenure::Settings {
-        acts: Duration::from_secs(3),
-        lease: settings.lease,
+    let tenure = lease::Settings {
+        duration: Duration::from_secs(3),
+        grace: settings.lease,
         overdue: Duration::from_millis(1_600),
-        turn: Duration::from_millis(600),
+        stagger: Duration::from_millis(600),
     };
     let mut biller = Biller {
         shared,
@@ -98,7 +98,7 @@
         meter,
         life,
         settings: tenure,
-        tenure: Tenure::default(),
+        tenure: Lease::default(),
         end: 0,
         next: None,
         open: BTreeMap::new(),
@@ -118,15 +118,15 @@
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
     meter: Arc<dyn UsageReporter>,
-    life: Life,
-    settings: tenure::Settings,
-    tenure: Tenure,
+    life: Incarnation,
+    settings: lease::Settings,
+    tenure: Lease,
     /// The end of the stream, as far as it is known.
     end: Offset,
     /// The first window that is not fixed, as far as it is known.
-    next: Option<Window>,
+    next: Option<WindowIndex>,
     /// Windows that are fixed and may not be known to the platform.
-    open: BTreeMap<Window, Counts>,
+    open: BTreeMap<WindowIndex, Counts>,
     /// When the last append began that may still succeed.
     appending: Option<Duration>,
     /// The epoch of the log in which the last record was written.
@@ -149,7 +149,7 @@
         if !self.tenure.may_claim(&self.settings, rank, due, since_boot()) {
             return Ok(());
         }
-        if !self.tenure.holds() || self.appending.is_some() {
+        if !self.tenure.is_held() || self.appending.is_some() {
             // What was heard by datagram says nothing of what is fixed.
             self.read().await?;
             let due = self.due(present).unwrap_or_default();
@@ -173,7 +173,7 @@
         let Some((billed, at)) = self.shared.usage.billing_progress() else { return };
         self.next = self.next.max(Some(billed.next_window));
         if billed.stream_end > self.end {
-            self.tenure.hear(billed.stream_end, at);
+            self.tenure.observe_record(billed.stream_end, at);
         }
     }
 
@@ -184,7 +184,7 @@
                 log::warn!(target: "store", stream = STREAM, epoch = epoch(oldest),
                     read = place(self.end); "stream is read anew");
                 (self.end, self.appending) = (oldest, None);
-                self.tenure.yields(oldest, since_boot());
+                self.tenure.relinquish(oldest, since_boot());
                 return Ok(());
             }
             Err(plat::Error::Gone { oldest, .. }) => {
@@ -227,8 +227,8 @@
         let record::Record { life, settled, epoch, bills } = record;
         self.fixed_in = self.fixed_in.max(epoch);
         match self.appending.filter(|_| life == self.life) {
-            Some(began) => self.tenure.hold(&self.settings, offset, began),
-            None => self.tenure.hear(offset + 1, since_boot()),
+            Some(began) => self.tenure.renew(&self.settings, offset, began),
+            None => self.tenure.observe_record(offset + 1, since_boot()),
         }
         for Bill { window, counts } in bills {
             self.next = self.next.max(Some(window + 1));
@@ -242,7 +242,7 @@
         let usage = &self.shared.usage;
         let first = usage.window_at(present).and_then(|present| usage.first_billable(present));
         let Some(next) = self.next.or(first) else { return Ok(()) };
-        let is_due = |window: &Window| usage.window_end(*window) + SETTLED <= present;
+        let is_due = |window: &WindowIndex| usage.window_end(*window) + SETTLED <= present;
         let windows = (next..next.saturating_add(MAX_BILLS)).take_while(is_due);
         let bills: Vec<_> =
             windows.map(|window| Bill { window, counts: usage.totals(window) }).collect();
@@ -271,7 +271,7 @@
         };
         self.appending = None;
         self.end = offset + 1;
-        self.tenure.hold(&self.settings, offset, began);
+        self.tenure.renew(&self.settings, offset, began);
         self.fixed_in = epoch;
         for Bill { window, counts } in record.bills {
             self.open.entry(window).or_insert(counts);
@@ -285,7 +285,7 @@
 
     /// Reports what is fixed, the oldest first, as long as this entry may.
     async fn report(&mut self) -> plat::Result<()> {
-        while let Some(fence) = self.tenure.fence(since_boot()) {
+        while let Some(fence) = self.tenure.fencing_token(since_boot()) {
             let Some((window, counts)) = self.open.first_key_value() else { return Ok(()) };
             let bill = Bill { window: *window, counts: counts.clone() };
             match self.meter.report(&self.shared.settings.name, fence, &bill).await? {
@@ -295,7 +295,7 @@
                 }
                 ReportOutcome::Superseded => {
                     log::warn!(target: "billing", fence; "another entry has the duty");
-                    self.tenure.yields(self.end, since_boot());
+                    self.tenure.relinquish(self.end, since_boot());
                 }
             }
         }
--- a/crates/direct/src/duty/billing/record.rs
+++ b/crates/direct/src/duty/billing/record.rs
@@ -3,16 +3,16 @@
 use super::Bill;
 use bytes::Bytes;
 use plat::epoch::Epoch;
-use policy::usage::{Life, Window};
+use policy::usage::{Incarnation, WindowIndex};
 use prost::Message;
 
 /// A record: bills that are fixed with it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Record {
     /// The life of the entry that wrote it.
-    pub(super) life: Life,
+    pub(super) life: Incarnation,
     /// All windows before this one are known to the platform.
-    pub(super) settled: Window,
+    pub(super) settled: WindowIndex,
     /// The epoch of the log in which it was written.
     pub(super) epoch: Epoch,
     /// The bills.
--- a/crates/direct/src/duty/stage_planner.rs
+++ b/crates/direct/src/duty/stage_planner.rs
@@ -24,8 +24,8 @@
 use orders::{ANNOUNCED, Changes, TOLD};
 use plat::KeyedLog;
 use policy::balance;
-use policy::demand::Demand;
-use policy::split::{self, Engine, Part};
+use policy::demand::DemandTracker;
+use policy::split::{self, Engine, EngineRole};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -110,7 +110,7 @@
 /// What this entry has seen of one service's load.
 #[derive(Default)]
 struct Watched {
-    demand: Demand,
+    demand: DemandTracker,
     /// Tokens that had been asked for when the load was last looked at, and when that was.
     last: Option<(u64, Instant)>,
     /// Since when the split has been wrong, and how.
@@ -157,11 +157,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wrong {
     /// No engine that can be reached does this part.
-    Lacks(Part),
+    Lacks(EngineRole),
     /// The load leaves one part short of engines that the other can spare.
-    Short(Part),
+    Short(EngineRole),
     /// Too few of so many engines do it for the load.
-    TooFew { part: Part, of: usize },
+    TooFew { part: EngineRole, of: usize },
 }
 
 impl Planner {
@@ -244,22 +244,22 @@
             .map(|(target, stage)| (target, stage, self.engine(target, stage, now)))
             .collect();
         let engines: Vec<Engine> = staged.iter().map(|(_, _, engine)| *engine).collect();
-        let lacking = split::lacking(&engines);
+        let lacking = split::missing_role(&engines);
         if lacking.is_some() {
             // What can be reached has to do both parts.
-            staged.retain(|(_, _, engine)| engine.present);
+            staged.retain(|(_, _, engine)| engine.available);
         }
         let engines: Vec<Engine> = staged.iter().map(|(_, _, engine)| *engine).collect();
-        let reading = split::reading(&engines);
+        let reading = split::count_prefill(&engines);
         let short = self.short(service, watched, &engines, now).filter(|_| lacking.is_none());
         let wanted = match short {
             Some(wanted) => wanted,
             None => self.usual(service, watched, &engines, lacking.is_some(), now)?,
         };
-        let changes = split::changes(&engines, wanted);
+        let changes = split::engines_to_change(&engines, wanted);
         let free = changes.into_iter().filter(|&at| self.may_name(&staged[at].0.id, now));
         let changes: Changes = free.map(|at| (staged[at].0.clone(), other(staged[at].1))).collect();
-        let part = if wanted > reading { Part::Reads } else { Part::Writes };
+        let part = if wanted > reading { EngineRole::Reads } else { EngineRole::Writes };
         let wrong = match (lacking, short) {
             (Some(lacking), _) => Wrong::Lacks(lacking),
             (None, Some(_)) => Wrong::Short(part),
@@ -277,25 +277,25 @@
         now: Instant,
     ) -> Option<usize> {
         let settings = &self.shared.settings;
-        if settings.split.fixed.is_some() {
+        if settings.split.fixed_share.is_some() {
             return None;
         }
         let (load, pool) = self.load(service, watched, engines)?;
         // An engine that writes is missing for as long as its last stream takes. So none is taken from them
         // for a burst of prompts, which is over by then, but those that were lent to them.
-        let lent = watched.lent.map_or(0, |lent| lent.readers.saturating_sub(pool.readers));
-        let wanted = match balance::wanted(&settings.balance, &load, pool) {
-            Some(wanted) if wanted < pool.readers && !watched.may_lend(now) => return None,
-            Some(wanted) => wanted.min(pool.readers + lent),
+        let lent = watched.lent.map_or(0, |lent| lent.readers.saturating_sub(pool.prefill));
+        let wanted = match balance::rebalance(&settings.balance, &load, pool) {
+            Some(wanted) if wanted < pool.prefill && !watched.may_lend(now) => return None,
+            Some(wanted) => wanted.min(pool.prefill + lent),
             None if watched.holds_on(now) => return None,
-            None => balance::returned(&settings.balance, &load, pool, lent)?,
+            None => balance::restore(&settings.balance, &load, pool, lent)?,
         };
-        if wanted == pool.readers {
+        if wanted == pool.prefill {
             return None;
         }
         // Those that can't be reached are left as they are.
-        let away = split::reading(engines).saturating_sub(pool.readers);
-        split::bounded(engines.len(), wanted + away)
+        let away = split::count_prefill(engines).saturating_sub(pool.prefill);
+        split::clamp_prefill(engines.len(), wanted + away)
     }
 
     /// What the load keeps busy until a change would take effect, and the engines that are there for it.
@@ -304,12 +304,13 @@
         service: &Service,
         watched: &Watched,
         engines: &[Engine],
-    ) -> Option<(balance::Load, balance::Pool)> {
+    ) -> Option<(balance::ProjectedLoad, balance::Pool)> {
         let spec = service.engine.as_ref()?;
         let pace = self.shared.loads.engine_profile(&service.name, spec.max_streams)?;
-        let load = watched.demand.load(&pace, spec.stage_change_time + NOTICED);
-        let here = |part| engines.iter().filter(|e| e.present && e.part == part).count();
-        let pool = balance::Pool { readers: here(Part::Reads), writers: here(Part::Writes) };
+        let load = watched.demand.projected_load(&pace, spec.stage_change_time + NOTICED);
+        let here = |part| engines.iter().filter(|e| e.available && e.role == part).count();
+        let pool =
+            balance::Pool { prefill: here(EngineRole::Reads), decode: here(EngineRole::Writes) };
         Some((load, pool))
     }
 
@@ -324,8 +325,8 @@
     ) -> Option<usize> {
         let share = self.share(service, watched, now_or_never)?;
         let settings = &self.shared.settings;
-        let reading = split::reading(engines);
-        let wanted = split::wanted(&settings.split, share, engines.len(), reading);
+        let reading = split::count_prefill(engines);
+        let wanted = split::desired_prefill(&settings.split, share, engines.len(), reading);
         if now_or_never {
             return Some(wanted);
         }
@@ -334,9 +335,9 @@
             return None;
         }
         let Some((load, _)) = self.load(service, watched, engines) else { return Some(wanted) };
-        let pool = balance::Pool { readers: wanted, writers: engines.len().saturating_sub(wanted) };
+        let pool = balance::Pool { prefill: wanted, decode: engines.len().saturating_sub(wanted) };
         // Engines that the load keeps busy stay where they are.
-        balance::fits(&settings.balance, &load, pool).then_some(wanted)
+        balance::is_sufficient(&settings.balance, &load, pool).then_some(wanted)
     }
 
     /// The share of the service's engines that should read; `None` while too little is known and
@@ -346,20 +347,20 @@
         let places = service.engine.as_ref().map_or(1, |engine| engine.max_streams);
         // A system that starts for the first time has served nobody who could have shown its pace.
         let first = self.shared.settings.first_start && !self.bulletin.borrow().has_plan;
-        let guess = (now || first).then(|| split::assumed(places));
+        let guess = (now || first).then(|| split::default_profile(places));
         let pace = self.shared.loads.engine_profile(&service.name, places).or(guess)?;
-        let need = watched.demand.need(&pace);
-        Some(split::share(settings, &pace, &need))
+        let need = watched.demand.peak_load(&pace);
+        Some(split::prefill_share(settings, &pace, &need))
     }
 
     fn engine(&self, target: &Target, stage: Stage, now: Instant) -> Engine {
         let others = self.shared.peers.load_at(target.key);
         Engine {
-            part: part(stage),
+            role: part(stage),
             // One that writes changes once its last stream has ended.
             work: target.in_flight().max(target.engine.streams() + others.streams),
             domain: target.domain_key,
-            present: !target.is_unavailable(silent(stage), now)
+            available: !target.is_unavailable(silent(stage), now)
                 && !target.is_limit_exhausted(now)
                 && (stage == Stage::Prefill || !target.has_transfer_backlog(now)),
         }
@@ -419,10 +420,10 @@
     }
 }
 
-fn part(stage: Stage) -> Part {
+fn part(stage: Stage) -> EngineRole {
     match stage {
-        Stage::Prefill => Part::Reads,
-        Stage::Decode => Part::Writes,
+        Stage::Prefill => EngineRole::Reads,
+        Stage::Decode => EngineRole::Writes,
     }
 }
 
--- a/crates/direct/src/exchange/coordination/permits.rs
+++ b/crates/direct/src/exchange/coordination/permits.rs
@@ -7,7 +7,7 @@
 };
 use crate::shared::Shared;
 use crate::targets::target::Target;
-use policy::pacing::{ALONE_PART, STANDBY_PART};
+use policy::pacing::{ISOLATED_STANDBY_SHARE, STANDBY_SHARE};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -19,8 +19,8 @@
 pub(super) fn part(shared: &Shared, group: &Group) -> f64 {
     match group.coordinators.first() {
         Some(first) if first.address.is_none() => 1.0,
-        Some(first) if !shared.peers.hears(first.key) => ALONE_PART,
-        Some(_) | None => STANDBY_PART,
+        Some(first) if !shared.peers.hears(first.key) => ISOLATED_STANDBY_SHARE,
+        Some(_) | None => STANDBY_SHARE,
     }
 }
 
@@ -34,7 +34,7 @@
         Some(target) => {
             let groups = shared.groups(&target.service);
             let group = groups::group_of(&groups, &target);
-            let part = || group.map_or(STANDBY_PART, |group| self::part(shared, group));
+            let part = || group.map_or(STANDBY_SHARE, |group| self::part(shared, group));
             let asker = ask.requester.unwrap_or_default().ask();
             shared.coordinator.permits.take(target.key, part, asker, now)
         }
--- a/crates/direct/src/exchange/coordination/reading.rs
+++ b/crates/direct/src/exchange/coordination/reading.rs
@@ -12,7 +12,7 @@
 use crate::shared::Shared;
 use crate::targets::target::{Target, TransferDirection};
 use policy::pacing;
-use policy::prompts::{self, Place, Prompt, Reader};
+use policy::prefill::{self, Placement, PrefillCandidate, Prompt};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -31,9 +31,9 @@
 /// A group's engines that can be had now.
 struct Able {
     /// Those that only read.
-    readers: Vec<Reader>,
+    readers: Vec<PrefillCandidate>,
     /// Those that write as well.
-    writers: Vec<Reader>,
+    writers: Vec<PrefillCandidate>,
     /// When the first takes in something again of those that named a limit.
     permit_after: Option<Duration>,
 }
@@ -54,7 +54,7 @@
         let first = if self.ask.decode_engines { &writers } else { &readers };
         let (place, choice) = self.place(first);
         match place {
-            Place::Read { at, copy_from, tokens } => {
+            Placement::Prefill { at, copy_from, tokens } => {
                 let engine = &choice[at];
                 let permit = match self.permit(engine.key) {
                     Ok(permit) => permit,
@@ -62,19 +62,19 @@
                 };
                 self.shared.coordinator.book(engine.key, self.ask.reservation, tokens, self.now);
                 let copy_from = copy_from.map_or(0, |from| short_hash(choice[from].key));
-                let (engine, waiting) = (short_hash(engine.key), choice[at].waiting);
+                let (engine, waiting) = (short_hash(engine.key), choice[at].queued_tokens);
                 Decision::Granted(Granted { engine, copy_from, tokens, waiting, permit })
             }
-            Place::Full(after) => {
+            Placement::Full(after) => {
                 let writer = !self.ask.decode_engines
-                    && matches!(self.place(&writers).0, Place::Read { .. });
+                    && matches!(self.place(&writers).0, Placement::Prefill { .. });
                 let after = permit_after.map_or(after, |permit| permit.min(after));
                 self.full(after, &choice, writer)
             }
         }
     }
 
-    fn full(&self, after: Duration, choice: &[Reader], writer: bool) -> Decision {
+    fn full(&self, after: Duration, choice: &[PrefillCandidate], writer: bool) -> Decision {
         let after_us = u64::try_from(after.as_micros()).unwrap_or(u64::MAX);
         Decision::Refused(Refused {
             retry_after_us: after_us,
@@ -91,11 +91,11 @@
 
     /// How long until an engine takes in another request, if it named a limit and has none left.
     fn permit_after(&self, engine: &Target) -> Option<Duration> {
-        let (part, rank) = (|| part(self.shared, self.group), self.asker().rank);
+        let (part, rank) = (|| part(self.shared, self.group), self.asker().priority);
         self.shared.coordinator.permits.look(engine.key, part, rank, self.now).err()
     }
 
-    fn asker(&self) -> pacing::Ask {
+    fn asker(&self) -> pacing::Requester {
         self.ask.requester.unwrap_or_default().ask()
     }
 
@@ -109,23 +109,23 @@
         let (permitted, closed): (Vec<_>, Vec<_>) =
             here.map(|engine| (engine, self.permit_after(engine))).partition(|(_, a)| a.is_none());
         let able = permitted.into_iter().map(|(engine, _)| self.reader(engine, new));
-        let (readers, writers) = able.partition(|reader| !reader.writes);
+        let (readers, writers) = able.partition(|reader| !reader.decodes);
         let permit_after = closed.into_iter().filter_map(|(_, after)| after).min();
         Able { readers, writers, permit_after }
     }
 
-    fn reader(&self, engine: &Arc<Target>, new: bool) -> Reader {
+    fn reader(&self, engine: &Arc<Target>, new: bool) -> PrefillCandidate {
         let others = self.shared.peers.load_at(engine.key);
         let streams = engine.engine.streams() + others.streams;
         let granted = self.shared.coordinator.queued_tokens(engine.key, self.now);
         let told = if new { engine.engine.prefill_tokens() + others.prefill_tokens } else { 0 };
-        Reader {
+        PrefillCandidate {
             key: engine.key,
-            writes: engine.stage() != Some(Stage::Prefill),
-            waiting: granted.max(told),
-            kept: self.kept(engine),
-            filled: f64::from(streams) / f64::from(engine.slots.max(1)),
-            handover: engine.transfer_excess(TransferDirection::Out, self.now),
+            decodes: engine.stage() != Some(Stage::Prefill),
+            queued_tokens: granted.max(told),
+            cached_tokens: self.kept(engine),
+            slot_usage: f64::from(streams) / f64::from(engine.slots.max(1)),
+            transfer_excess: engine.transfer_excess(TransferDirection::Out, self.now),
             domain: engine.domain_key,
         }
     }
@@ -135,22 +135,22 @@
     }
 
     /// Places the prompt at one of `able`; the engines that its answer counts are returned with it.
-    fn place(&self, able: &[Reader]) -> (Place, Vec<Reader>) {
+    fn place(&self, able: &[PrefillCandidate]) -> (Placement, Vec<PrefillCandidate>) {
         let mut choice = able.to_vec();
         choice.extend(self.sources(able));
         let prompt = Prompt {
-            start: self.ask.prefix_hash,
+            prefix_hash: self.ask.prefix_hash,
             tokens: self.ask.tokens.into(),
             objective: Duration::from_millis(self.ask.objective_ms.into()),
             late: self.ask.late,
         };
         let settings = self.shared.prompts(&self.service.name);
-        (prompts::place_among(&settings, &prompt, &choice, able.len(), 1), choice)
+        (prefill::place_among(&settings, &prompt, &choice, able.len(), 1), choice)
     }
 
     /// Engines from which the start can only be copied: all others that keep some of it as far as is
     /// known here, and the one that the question names.
-    fn sources(&self, able: &[Reader]) -> Vec<Reader> {
+    fn sources(&self, able: &[PrefillCandidate]) -> Vec<PrefillCandidate> {
         let engines = self.shared.usable(&self.service.name);
         let named = self.ask.cached_prefix.unwrap_or_default();
         let named = |engine: &Target| {
@@ -159,13 +159,18 @@
         let others = engines.iter().filter(|engine| able.iter().all(|r| r.key != engine.key));
         let keeping = others.map(|engine| (engine, self.kept(engine).max(named(engine))));
         let keeping = keeping.filter(|(_, kept)| *kept > 0);
-        keeping.map(|(engine, kept)| Reader { kept, ..self.reader(engine, false) }).collect()
+        keeping
+            .map(|(engine, kept)| PrefillCandidate {
+                cached_tokens: kept,
+                ..self.reader(engine, false)
+            })
+            .collect()
     }
 
     /// The engine that keeps most of the prompt, for a group that is asked next.
-    fn holder(&self, choice: &[Reader]) -> Option<CachedPrefix> {
-        let most = choice.iter().max_by_key(|reader| reader.kept)?;
-        let tokens = u32::try_from(most.kept).unwrap_or(u32::MAX);
+    fn holder(&self, choice: &[PrefillCandidate]) -> Option<CachedPrefix> {
+        let most = choice.iter().max_by_key(|reader| reader.cached_tokens)?;
+        let tokens = u32::try_from(most.cached_tokens).unwrap_or(u32::MAX);
         (tokens > 0).then(|| CachedPrefix { engine: short_hash(most.key), tokens })
     }
 }
--- a/crates/direct/src/exchange/coordination/writing.rs
+++ b/crates/direct/src/exchange/coordination/writing.rs
@@ -8,7 +8,7 @@
 use crate::config::route::Stage;
 use crate::shared::Shared;
 use crate::targets::target::{Target, TransferDirection};
-use policy::writers::{self, Writer};
+use policy::decode::{self, DecodeCandidate};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -44,10 +44,10 @@
     group: &'a Group,
     ask: &DecodeRequest,
     now: Instant,
-) -> Option<(Writer, &'a Arc<Target>)> {
+) -> Option<(DecodeCandidate, &'a Arc<Target>)> {
     let new = shared.coordinator.is_new(group.key, now);
     let objective = Duration::from_millis(ask.objective_ms.into());
-    let rank = ask.requester.unwrap_or_default().ask().rank;
+    let rank = ask.requester.unwrap_or_default().ask().priority;
     let able = group.engines.iter().filter(|engine| {
         let allowed = !ask.avoid.contains(&short_hash(engine.key));
         let able = engine.stage() != Some(Stage::Prefill) && !engine.is_changing_stage(now);
@@ -56,7 +56,7 @@
     });
     let ranked = able.map(|engine| {
         let writer = writer(shared, engine, objective, new, now);
-        (writers::rank(&writer, objective), shared.random(), writer, engine)
+        (decode::rank(&writer, objective), shared.random(), writer, engine)
     });
     let best = ranked.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     best.map(|(_, _, writer, engine)| (writer, engine))
@@ -68,15 +68,15 @@
     objective: Duration,
     new: bool,
     now: Instant,
-) -> Writer {
+) -> DecodeCandidate {
     let granted = shared.coordinator.streams(engine.key, now);
     let others = shared.peers.load_at(engine.key).streams;
     let told = if new { engine.engine.streams() + others } else { 0 };
-    Writer {
-        away: engine.is_unavailable(objective * SILENCE, now),
-        handover: engine.transfer_excess(TransferDirection::In, now),
+    DecodeCandidate {
+        unavailable: engine.is_unavailable(objective * SILENCE, now),
+        transfer_excess: engine.transfer_excess(TransferDirection::In, now),
         streams: granted.max(told),
         slots: engine.slots,
-        ..Writer::default()
+        ..DecodeCandidate::default()
     }
 }
--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -90,7 +90,7 @@
     loop {
         let leaving = stop.is_cancelled();
         let (name, address) = (shared.settings.name.to_string(), address.to_string());
-        let link = shared.settings.link.rate;
+        let link = shared.settings.link.bytes_per_second;
         write(&*log, Kind::Heartbeat(Heartbeat { name, leaving, address, link_rate: link })).await;
         if leaving {
             return;
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -319,6 +319,6 @@
         address: Some(heard.address),
         link: heard.link,
     });
-    let (key, link) = (shared.key(), shared.settings.link.rate);
+    let (key, link) = (shared.key(), shared.settings.link.bytes_per_second);
     others.chain([Member { key, address: None, link }]).collect()
 }
--- a/crates/direct/src/request/coordinator_client.rs
+++ b/crates/direct/src/request/coordinator_client.rs
@@ -11,7 +11,7 @@
 use crate::exchange::coordination;
 use crate::request::context::Job;
 use crate::shared::Shared;
-use policy::bookings::BookingId;
+use policy::reservations::ReservationId;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
@@ -32,7 +32,7 @@
     job: &Job,
     group: &Group,
     objective: Duration,
-    make: impl Fn(BookingId) -> Payload,
+    make: impl Fn(ReservationId) -> Payload,
 ) -> Option<(Response, Member)> {
     let post = &job.shared.post;
     let patience = objective.mul_f64(PATIENCE_PART).max(LEAST_PATIENCE);
@@ -59,7 +59,7 @@
 async fn answer(
     shared: &Shared,
     coordinator: &Member,
-    booking: BookingId,
+    booking: ReservationId,
     question: Payload,
     patience: Duration,
 ) -> Option<Response> {
--- a/crates/direct/src/request/decode_placement.rs
+++ b/crates/direct/src/request/decode_placement.rs
@@ -16,7 +16,7 @@
 use crate::request::permits::Permit;
 use crate::request::reservation::Reservation;
 use crate::targets::target::Target;
-use policy::bookings::BookingId;
+use policy::reservations::ReservationId;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
     job: &Job,
     group: &Group,
     tried: &[Arc<Target>],
-    booking: BookingId,
+    booking: ReservationId,
     filled: u32,
 ) -> DecodeRequest {
     let now = tokio::time::Instant::now();
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -15,8 +15,8 @@
 use crate::targets::target::{Target, TransferDirection};
 use http::Response;
 use policy::Hash;
+use policy::decode::{self, DecodeCandidate};
 use policy::signals;
-use policy::writers::{self, Writer};
 use read::Read;
 use std::sync::Arc;
 use std::time::Duration;
@@ -109,16 +109,16 @@
     let untried = able.filter(|engine| tried.iter().all(|other| other.id != engine.id));
     let untried = untried.filter(|engine| engine.closed_for(now).is_none());
     let ranked = untried.map(|engine| {
-        let writer = Writer {
-            away: engine.is_unavailable(job.patience(), now),
+        let writer = DecodeCandidate {
+            unavailable: engine.is_unavailable(job.patience(), now),
             changing: engine.is_changing_stage(now),
-            handover: engine.transfer_excess(TransferDirection::In, now),
+            transfer_excess: engine.transfer_excess(TransferDirection::In, now),
             streams: engine.engine.streams() + job.shared.peers.load_at(engine.key).streams,
             slots: engine.slots,
-            near: engine.domain == near,
+            same_domain: engine.domain == near,
         };
         // Equal ones are drawn at random, so that entries don't all take the same.
-        (writers::rank(&writer, job.route.objective), job.shared.random(), engine)
+        (decode::rank(&writer, job.route.objective), job.shared.random(), engine)
     });
     let best = ranked.min_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
     best.map(|(_, _, engine)| engine.clone())
--- a/crates/direct/src/request/generate/read.rs
+++ b/crates/direct/src/request/generate/read.rs
@@ -15,7 +15,7 @@
 use crate::targets::target::{Target, TransferDirection};
 use compact_str::CompactString;
 use http_body_util::BodyExt;
-use policy::prompts::{self, Reader};
+use policy::prefill::{self, PrefillCandidate};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -109,7 +109,7 @@
             Found::Full { soonest, .. } => {
                 let settings = job.shared.prompts(&job.service.name);
                 let random = job.shared.random();
-                let back = prompts::come_back(&settings, soonest, job.left(), random);
+                let back = prefill::retry_after(&settings, soonest, job.left(), random);
                 return Read::Refused(Refusal::PromptsFull, back);
             }
             Found::At(place) => place,
@@ -155,7 +155,7 @@
 async fn find(
     job: &Arc<Job>,
     prompt: &Prompt,
-    wanted: &prompts::Prompt,
+    wanted: &prefill::Prompt,
     tried: &[Arc<Target>],
 ) -> Found {
     match prefill_placement::find(job, prompt, wanted, tried).await {
@@ -174,20 +174,21 @@
 fn alone(
     job: &Job,
     prompt: &Prompt,
-    wanted: &prompts::Prompt,
+    wanted: &prefill::Prompt,
     engines: &[Arc<Target>],
     tried: &[Arc<Target>],
 ) -> Found {
     let engines = candidates(job, engines, tried);
-    let readers: Vec<Reader> = engines.iter().map(|engine| reader(job, engine, prompt)).collect();
+    let readers: Vec<PrefillCandidate> =
+        engines.iter().map(|engine| reader(job, engine, prompt)).collect();
     let settings = job.shared.prompts(&job.service.name);
-    match prompts::place(&settings, wanted, &readers, job.shared.load_scale()) {
-        prompts::Place::Full(soonest) => {
-            let kept = readers.iter().map(|reader| reader.kept).max().unwrap_or_default();
+    match prefill::place(&settings, wanted, &readers, job.shared.load_scale()) {
+        prefill::Placement::Full(soonest) => {
+            let kept = readers.iter().map(|reader| reader.cached_tokens).max().unwrap_or_default();
             Found::Full { soonest, kept }
         }
-        prompts::Place::Read { at, copy_from, tokens } => {
-            let (engine, waiting) = (engines[at].clone(), readers[at].waiting);
+        prefill::Placement::Prefill { at, copy_from, tokens } => {
+            let (engine, waiting) = (engines[at].clone(), readers[at].queued_tokens);
             let fetch = copy_from.map(|at| engines[at].clone());
             let permit = Permit::Wanted;
             Found::At(There { engine, fetch, tokens, waiting, permit, reservation: None })
@@ -208,26 +209,26 @@
     if present.is_empty() { able } else { present }
 }
 
-fn reader(job: &Job, engine: &Arc<Target>, prompt: &Prompt) -> Reader {
+fn reader(job: &Job, engine: &Arc<Target>, prompt: &Prompt) -> PrefillCandidate {
     let others = job.shared.peers.load_at(engine.key);
     let streams = engine.engine.streams() + others.streams;
-    Reader {
+    PrefillCandidate {
         key: engine.key,
-        writes: engine.stage() != Some(Stage::Prefill),
-        waiting: engine.engine.prefill_tokens() + others.prefill_tokens,
-        kept: engine.engine.cached_tokens(&prompt.parts),
-        filled: f64::from(streams) / f64::from(engine.slots.max(1)),
-        handover: engine.transfer_excess(TransferDirection::Out, Instant::now()),
+        decodes: engine.stage() != Some(Stage::Prefill),
+        queued_tokens: engine.engine.prefill_tokens() + others.prefill_tokens,
+        cached_tokens: engine.engine.cached_tokens(&prompt.parts),
+        slot_usage: f64::from(streams) / f64::from(engine.slots.max(1)),
+        transfer_excess: engine.transfer_excess(TransferDirection::Out, Instant::now()),
         domain: engine.domain_key,
     }
 }
 
 /// What is wanted of an engine, for a prompt that has `waited` here.
-fn wanted(job: &Job, prompt: &Prompt, waited: Duration) -> prompts::Prompt {
+fn wanted(job: &Job, prompt: &Prompt, waited: Duration) -> prefill::Prompt {
     let late = job.shared.is_retry(&job.route, job.ask.deadline);
     let (tokens, objective) =
         (u64::from(prompt.input_tokens), job.route.objective.saturating_sub(waited));
-    prompts::Prompt { start: start(prompt), tokens, objective, late }
+    prefill::Prompt { prefix_hash: start(prompt), tokens, objective, late }
 }
 
 /// Has an engine read the prompt; `None` if it did not.
@@ -243,7 +244,7 @@
     let _reading = engine.engine.begin_prefill(tokens);
     let fetch = fetch.map(|engine| engine.address);
     let settings = &job.shared.settings.prompts;
-    let urgency = Some(prompts::urgency(settings, tokens, job.rank()));
+    let urgency = Some(prefill::priority(settings, tokens, job.rank()));
     let kept = u64::from(prompt.input_tokens).saturating_sub(tokens);
     job.shared.metrics.prompt_tokens(tokens, kept);
     let sending = AttemptHead {
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -12,7 +12,7 @@
 use crate::request::coordinator_client;
 use crate::shared::Shared;
 use crate::targets::target::Target;
-use policy::prompts;
+use policy::prefill;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -113,7 +113,7 @@
     let (settings, random) = (&job.shared.settings.prompts, job.shared.random());
     let spread = soonest.mul_f64(1.0 + random * SPREAD);
     // Sooner than that would be in vain, however long its caller waits.
-    prompts::come_back(settings, soonest, job.left(), random).max(spread)
+    prefill::retry_after(settings, soonest, job.left(), random).max(spread)
 }
 
 /// Tells a target's coordinators which limit it names, after an answer to a request sent at `sent`, if
--- a/crates/direct/src/request/prefill_placement.rs
+++ b/crates/direct/src/request/prefill_placement.rs
@@ -13,8 +13,8 @@
 use crate::request::permits::Permit;
 use crate::request::reservation::{Reservation, order};
 use crate::targets::target::Target;
-use policy::bookings::BookingId;
-use policy::prompts;
+use policy::prefill;
+use policy::reservations::ReservationId;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -54,14 +54,14 @@
 pub async fn find(
     job: &Job,
     prompt: &Prompt,
-    wanted: &prompts::Prompt,
+    wanted: &prefill::Prompt,
     tried: &[Arc<Target>],
 ) -> Found {
     let groups = job.shared.groups(&job.service.name);
     let mut search =
         Search { job, prompt, wanted, tried, holder: None, soonest: None, unheard: Vec::new() };
     let mut writes = None;
-    let order = order(&groups, wanted.start);
+    let order = order(&groups, wanted.prefix_hash);
     for (asked, &at) in order.iter().enumerate() {
         match search.ask(&groups[at], false).await {
             Reply::Booked(reserved) => return Found::Booked(reserved),
@@ -92,7 +92,7 @@
 struct Search<'a> {
     job: &'a Job,
     prompt: &'a Prompt,
-    wanted: &'a prompts::Prompt,
+    wanted: &'a prefill::Prompt,
     tried: &'a [Arc<Target>],
     /// The engine that keeps most of the prompt's start.
     holder: Option<CachedPrefix>,
@@ -133,7 +133,7 @@
         }
     }
 
-    fn question(&self, group: &Group, writers: bool, booking: BookingId) -> PrefillRequest {
+    fn question(&self, group: &Group, writers: bool, booking: ReservationId) -> PrefillRequest {
         let now = Instant::now();
         let away = |engine: &&Arc<Target>| engine.is_unavailable(self.job.patience(), now);
         let tried = self.tried.iter().chain(group.engines.iter().filter(away));
@@ -144,7 +144,7 @@
             reservation: booking,
             group: group.key,
             service: short_hash(policy::hash(&self.job.service.name)),
-            prefix_hash: self.wanted.start,
+            prefix_hash: self.wanted.prefix_hash,
             tokens: self.prompt.input_tokens,
             objective_ms: u32::try_from(self.wanted.objective.as_millis()).unwrap_or(u32::MAX),
             late: self.wanted.late,
@@ -159,7 +159,7 @@
     fn booked(
         &self,
         granted: &Granted,
-        booking: BookingId,
+        booking: ReservationId,
         coordinator: &Member,
     ) -> Option<Reserved> {
         let shared = &self.job.shared;
@@ -167,7 +167,7 @@
         let find = |key: u32| engines.iter().find(|engine| short_hash(engine.key) == key).cloned();
         // One that is not listed here yet.
         let engine = find(granted.engine)?;
-        let start = Some(self.wanted.start);
+        let start = Some(self.wanted.prefix_hash);
         let reservation = Reservation::new(shared, &engine, booking, *coordinator, start);
         let fetch = find(granted.copy_from);
         let Granted { tokens, waiting, permit, .. } = *granted;
--- a/crates/direct/src/request/reservation.rs
+++ b/crates/direct/src/request/reservation.rs
@@ -7,7 +7,7 @@
 use crate::exchange::coordination;
 use crate::shared::Shared;
 use crate::targets::target::Target;
-use policy::bookings::BookingId;
+use policy::reservations::ReservationId;
 use policy::{Hash, groups};
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub struct Reservation {
     shared: Arc<Shared>,
     engine: Arc<Target>,
-    booking: BookingId,
+    booking: ReservationId,
     coordinator: Member,
     /// The hash of the prompt's longest shared start, if it is one of a prompt and not of a stream.
     start: Option<Hash>,
@@ -30,7 +30,7 @@
     pub fn new(
         shared: &Arc<Shared>,
         engine: &Arc<Target>,
-        booking: BookingId,
+        booking: ReservationId,
         coordinator: Member,
         start: Option<Hash>,
     ) -> Self {
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -18,7 +18,7 @@
 use compact_str::CompactString;
 use plat::Offset;
 use plat::epoch::Epoch;
-use policy::{Hash, balance, dial, link, patience, prompts, split, window};
+use policy::{Hash, balance, connect_timeout, extra_budget, link, prefill, retry_detection, split};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
@@ -36,9 +36,9 @@
     /// Its failure domain.
     pub domain: CompactString,
     /// How extra sendings are bounded.
-    pub extras: window::Settings,
+    pub extras: extra_budget::Settings,
     /// How prompts are placed.
-    pub prompts: prompts::Settings,
+    pub prompts: prefill::Settings,
     /// This process's link.
     pub link: link::Settings,
     /// How engines are split.
@@ -64,7 +64,8 @@
     pub fn datagram_interval(&self, bytes: usize, peers: u32) -> Duration {
         let bytes = u32::try_from(bytes + DATAGRAM_HEAD).unwrap_or(u32::MAX);
         let bytes = f64::from(bytes) * f64::from(peers);
-        let span = Duration::try_from_secs_f64(bytes / (self.link.rate * DATAGRAM_SHARE));
+        let span =
+            Duration::try_from_secs_f64(bytes / (self.link.bytes_per_second * DATAGRAM_SHARE));
         span.unwrap_or(MAX_DATAGRAM_INTERVAL).min(MAX_DATAGRAM_INTERVAL)
     }
 }
@@ -115,10 +116,10 @@
     fleet: Mutex<Fleet>,
     groups: groups::Cache,
     link: Mutex<link::Link>,
-    dial: Mutex<dial::Dial>,
+    dial: Mutex<connect_timeout::ConnectTimeouts>,
     /// How long callers wait, by route.
-    patience: Mutex<HashMap<RouteName, patience::Patience>>,
-    windows: Mutex<HashMap<CompactString, window::Window>>,
+    patience: Mutex<HashMap<RouteName, retry_detection::RetryDetector>>,
+    windows: Mutex<HashMap<CompactString, extra_budget::ExtraBudget>>,
     entries: AtomicU32,
     random: Mutex<ChaCha8Rng>,
     stop: OnceLock<Stop>,
@@ -290,16 +291,20 @@
     }
 
     /// How prompts are placed at the engines of a service, with the rate learnt so far.
-    pub fn prompts(&self, service: &str) -> prompts::Settings {
-        let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prompts.rate);
+    pub fn prompts(&self, service: &str) -> prefill::Settings {
+        let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prompts.prefill_rate);
         let pause = self.table.borrow().as_ref().and_then(|table| table.pause(service));
         let writer_pause = pause.unwrap_or_default() / PAUSES;
-        prompts::Settings { rate, writer_pause, ..self.settings.prompts.clone() }
+        prefill::Settings {
+            prefill_rate: rate,
+            decode_pause: writer_pause,
+            ..self.settings.prompts.clone()
+        }
     }
 
     /// Takes in how long an engine of a service took to read a prompt and what waited before it.
     pub fn record_prefill_time(&self, service: &str, tokens: u64, took: Duration) {
-        self.loads.record_prefill(service, self.settings.prompts.rate, tokens, took);
+        self.loads.record_prefill(service, self.settings.prompts.prefill_rate, tokens, took);
     }
 
     /// Whether the caller of a request that waits for `left` from now on has waited longer than the
@@ -311,7 +316,7 @@
             patience.clear();
         }
         let patience = patience.entry(route.name.clone()).or_default();
-        patience.has_waited(left, route.objective)
+        patience.is_retry(left, route.objective)
     }
 
     /// Books the link for a request of `bytes` bytes: how long until its turn, or how long the link is
@@ -327,7 +332,7 @@
 
     /// How long a connection to a target is waited for.
     pub fn connect_timeout(&self, target: &Target) -> Duration {
-        self.dial().patience(target.domain_key, self.started.elapsed())
+        self.dial().timeout(target.domain_key, self.started.elapsed())
     }
 
     /// Takes in how long it took to open a connection to a target.
@@ -335,7 +340,7 @@
         self.dial().sample(target.domain_key, took, self.started.elapsed());
     }
 
-    fn dial(&self) -> MutexGuard<'_, dial::Dial> {
+    fn dial(&self) -> MutexGuard<'_, connect_timeout::ConnectTimeouts> {
         self.dial.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -351,19 +356,19 @@
 
     /// Books a request for `service`.
     pub fn book_request(&self, service: &str) {
-        self.with_window(service, |window, now| window.request(now));
+        self.with_window(service, |window, now| window.record_request(now));
     }
 
     /// Books an extra sending that happened.
     pub fn book_extra(&self, service: &str) {
-        self.with_window(service, |window, now| window.owe(now));
+        self.with_window(service, |window, now| window.record_extra(now));
     }
 
     /// Books an extra sending if there may be one.
     #[must_use]
     pub fn try_book_extra(&self, service: &str) -> bool {
         let entries = self.entries();
-        let allowed = self.with_window(service, |window, now| window.spend(entries, now));
+        let allowed = self.with_window(service, |window, now| window.try_spend(entries, now));
         self.metrics.extra(allowed);
         allowed
     }
@@ -371,10 +376,10 @@
     fn with_window<T>(
         &self,
         service: &str,
-        act: impl FnOnce(&mut window::Window, policy::Time) -> T,
+        act: impl FnOnce(&mut extra_budget::ExtraBudget, policy::Time) -> T,
     ) -> T {
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let new = || window::Window::new(self.settings.extras.clone());
+        let new = || extra_budget::ExtraBudget::new(self.settings.extras.clone());
         let window = windows.entry(service.into()).or_insert_with(new);
         act(window, self.started.elapsed())
     }
--- a/crates/direct/src/targets/availability.rs
+++ b/crates/direct/src/targets/availability.rs
@@ -5,7 +5,7 @@
 //! entries are told in the datagrams that go anyhow.
 
 use policy::Hash;
-use policy::signals::{Change, Standing};
+use policy::signals::{Change, SignalState};
 use std::collections::{HashMap, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -106,10 +106,10 @@
     }
 
     /// What this life of a target said before; times count from `now`.
-    pub fn known(&self, target: Hash, now: Instant) -> Standing {
+    pub fn known(&self, target: Hash, now: Instant) -> SignalState {
         let inner = self.lock();
         let pause = inner.paused.get(&target).and_then(|until| until.checked_duration_since(now));
-        Standing::restored(inner.left.contains_key(&target), pause)
+        SignalState::restored(inner.left.contains_key(&target), pause)
     }
 
     /// Targets that lately said that they leave.
--- a/crates/direct/src/targets/target.rs
+++ b/crates/direct/src/targets/target.rs
@@ -12,9 +12,9 @@
 use compact_str::CompactString;
 use condition::Condition;
 use intake::Intake;
-use policy::handover::Handover;
 use policy::pacing::Rate;
 use policy::signals::{Change as Said, Closed, Signals};
+use policy::transfer::TransferTime;
 use role::Role;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -90,8 +90,8 @@
     role: Role,
     condition: Condition,
     intake: Intake,
-    handed_out: Handover,
-    taken_in: Handover,
+    handed_out: TransferTime,
+    taken_in: TransferTime,
     /// What it said of its requests, and when.
     busy: Option<(ReportedLoad, Instant)>,
 }
@@ -180,7 +180,7 @@
     /// Books a request sent there; the booking ends with the guard.
     pub fn begin_request(self: &Arc<Self>) -> InFlightRequest {
         let now = self.time(Instant::now());
-        self.load().condition.reach.enter(now);
+        self.load().condition.reach.request_started(now);
         InFlightRequest(self.clone())
     }
 
@@ -209,13 +209,13 @@
 
     /// Whether the target wants requests, by its own answers.
     pub fn check_open(&self, now: Instant) -> Result<(), Closed> {
-        self.load().intake.standing.look(self.time(now))
+        self.load().intake.standing.check_open(self.time(now))
     }
 
     /// The same right before a request is written, which then counts as sent: what the target says may come
     /// while a request waits for a permit, a place or a connection.
     pub fn take(&self, now: Instant) -> Result<(), Closed> {
-        self.load().intake.standing.take(self.time(now))
+        self.load().intake.standing.acquire(self.time(now))
     }
 
     /// Whether a request that was counted may still be sent, after a connection turned out to be closed.
@@ -225,7 +225,7 @@
 
     /// How long until it wants requests again after a pause, if it does not now.
     pub fn pause_remaining(&self, now: Instant) -> Option<Duration> {
-        self.load().intake.standing.paused_for(self.time(now))
+        self.load().intake.standing.pause_remaining(self.time(now))
     }
 
     /// Whether it has said in an answer that it leaves.
@@ -263,7 +263,7 @@
     /// When it was last sent a request that it answered with its limit, and when that answer came.
     pub fn limit_times(&self) -> (Instant, Instant) {
         let limit = self.load().intake.standing.limit();
-        (self.known + limit.sent(), self.known + limit.heard())
+        (self.known + limit.sent_at(), self.known + limit.received_at())
     }
 
     /// Whether its coordinators are to be told of its limit, or, if `is_outdated`, that it has none. They
@@ -298,7 +298,7 @@
 
     /// Notes that a piece of an answer came from it.
     pub fn record_activity(&self, now: Instant) {
-        self.load().condition.reach.heard(self.time(now));
+        self.load().condition.reach.response_received(self.time(now));
     }
 
     /// Takes in how long KV cache was on its way.
@@ -415,6 +415,6 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.0.load().condition.reach.leave();
+        self.0.load().condition.reach.request_ended();
     }
 }
--- a/crates/direct/src/targets/target/condition.rs
+++ b/crates/direct/src/targets/target/condition.rs
@@ -2,7 +2,7 @@
 
 use super::Health;
 use policy::Time;
-use policy::reach::Reach;
+use policy::reachability::Reachability;
 use std::time::Duration;
 
 /// The weight of a new sample in the average of failures: it forgets within some ten samples.
@@ -19,7 +19,7 @@
 /// The condition of one target, by exchanges with it.
 #[derive(Debug, Default)]
 pub(super) struct Condition {
-    pub(super) reach: Reach,
+    pub(super) reach: Reachability,
     failures: f64,
     /// Until when it counts as not being there, because what stands at its address said so.
     misdirected: Option<Time>,
@@ -34,8 +34,8 @@
         };
         self.failures += (failed - self.failures) * SMOOTHING;
         match health {
-            Health::Sound | Health::Failing => self.reach.heard(now),
-            Health::Unreachable => self.reach.unreachable(now),
+            Health::Sound | Health::Failing => self.reach.response_received(now),
+            Health::Unreachable => self.reach.connection_failed(now),
         }
     }
 
@@ -49,8 +49,8 @@
 
     pub(super) fn is_away(&self, patience: Duration, now: Time) -> bool {
         self.misdirected.is_some_and(|until| now < until)
-            || self.reach.is_paused()
-            || self.reach.is_silent(patience, now)
+            || self.reach.is_backing_off()
+            || self.reach.is_unresponsive(patience, now)
     }
 
     /// What its failures weigh, as a share of its slots.
--- a/crates/direct/src/targets/target/intake.rs
+++ b/crates/direct/src/targets/target/intake.rs
@@ -2,7 +2,7 @@
 //! answered to other entries.
 
 use policy::Time;
-use policy::signals::{Change, Closed, Signals, Standing};
+use policy::signals::{Change, Closed, SignalState, Signals};
 use std::time::Duration;
 
 /// For how long a target that refused a permit counts as spent: longer than an entry waits before it asks
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Intake {
     /// What its answers say of it.
-    pub(super) standing: Standing,
+    pub(super) standing: SignalState,
     /// Whether its limit has changed since the coordinators were told of it.
     limit_untold: bool,
     /// When they last were.
@@ -31,7 +31,7 @@
 
 impl Intake {
     /// One of a target that has said this before.
-    pub(super) fn new(standing: Standing) -> Self {
+    pub(super) fn new(standing: SignalState) -> Self {
         Self { standing, ..Self::default() }
     }
 
@@ -72,12 +72,12 @@
     /// How long until something may be sent, if there is no permit now, or the target wants a pause.
     pub(super) fn closed_for(&self, now: Time) -> Option<Duration> {
         let closed = self.closed.and_then(|closed| closed.checked_sub(now));
-        closed.filter(|left| !left.is_zero()).max(self.standing.paused_for(now))
+        closed.filter(|left| !left.is_zero()).max(self.standing.pause_remaining(now))
     }
 
     /// Whether others go first.
     pub(super) fn is_away(&self, now: Time) -> bool {
-        let look: Result<(), Closed> = self.standing.look(now);
+        let look: Result<(), Closed> = self.standing.check_open(now);
         look.is_err() || self.paused_elsewhere.is_some_and(|until| now < until)
     }
 }
--- a/crates/direct/tests/fleet.rs
+++ b/crates/direct/tests/fleet.rs
@@ -5,7 +5,7 @@
 use direct::config::route::Stage;
 use direct::targets::fleet::{Fleet, FleetUpdate, LogState, TargetRecord};
 use direct::targets::target::STAGE_CHANGE_TIMEOUT;
-use policy::signals::{Said, Signals};
+use policy::signals::{Signal, Signals};
 use std::collections::HashMap;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -365,7 +365,7 @@
 /// The life of a target that has said in an answer that it leaves, with its list.
 fn departed(fleet: &mut Fleet, id: &str) {
     let target = fleet.get(id).expect("it is listed").clone();
-    let signals = Signals { leaving: Said::Value(true), ..Signals::default() };
+    let signals = Signals { leaving: Signal::Value(true), ..Signals::default() };
     let now = Instant::now();
     target.observe_signals(&signals, now, now);
     fleet.take_departures();
--- a/crates/direct/tests/loads.rs
+++ b/crates/direct/tests/loads.rs
@@ -46,8 +46,8 @@
     let (pace, known) =
         (ours.engine_profile("s", 64).unwrap(), theirs.engine_profile("s", 64).unwrap());
     assert_eq!(pace, known);
-    assert!((50_000.0..70_000.0).contains(&pace.reading), "{pace:?}");
-    assert!((0.003..0.005).contains(&pace.step), "{pace:?}");
+    assert!((50_000.0..70_000.0).contains(&pace.prefill_rate), "{pace:?}");
+    assert!((0.003..0.005).contains(&pace.token_time), "{pace:?}");
 }
 
 /// Of services that share entries, one reads five times slower than the other.
--- a/crates/direct/tests/target.rs
+++ b/crates/direct/tests/target.rs
@@ -1,7 +1,7 @@
 //! One target as an entry knows it.
 
 use direct::targets::target::{Identity, Target};
-use policy::signals::{Said, Signals};
+use policy::signals::{Signal, Signals};
 use std::sync::Arc;
 use tokio::time::Instant;
 
@@ -12,7 +12,7 @@
 }
 
 /// Whether something changed.
-fn hear(target: &Target, limit: Said<f64>, now: Instant) -> bool {
+fn hear(target: &Target, limit: Signal<f64>, now: Instant) -> bool {
     let signals = Signals { limit, ..Signals::default() };
     !target.observe_signals(&signals, now, now).is_empty()
 }
@@ -22,24 +22,24 @@
 #[tokio::test]
 async fn a_limit_that_cannot_be_read_is_told_once_and_changes_nothing() {
     let (target, now) = (target(), Instant::now());
-    assert!(hear(&target, Said::Value(5.0), now));
-    assert!(hear(&target, Said::Unreadable, now));
-    assert!(!hear(&target, Said::Unreadable, now));
+    assert!(hear(&target, Signal::Value(5.0), now));
+    assert!(hear(&target, Signal::Unreadable, now));
+    assert!(!hear(&target, Signal::Unreadable, now));
     assert_eq!(target.limit(), Some(5.0));
-    assert!(!hear(&target, Said::Value(5.0), now));
-    assert!(hear(&target, Said::Unreadable, now));
+    assert!(!hear(&target, Signal::Value(5.0), now));
+    assert!(hear(&target, Signal::Unreadable, now));
 }
 
 /// Nothing is known of a target that names no limit, and there is nothing to tell its coordinators.
 #[tokio::test]
 async fn a_target_without_a_limit_has_nothing_to_tell() {
     let (target, now) = (target(), Instant::now());
-    assert!(!hear(&target, Said::Nothing, now));
+    assert!(!hear(&target, Signal::Absent, now));
     assert!(!target.begin_limit_report(false, now));
-    hear(&target, Said::Value(5.0), now);
+    hear(&target, Signal::Value(5.0), now);
     assert!(target.begin_limit_report(false, now));
     assert!(!target.begin_limit_report(false, now));
     // Its end is told at once, though it was told of just now.
-    hear(&target, Said::Nothing, now);
+    hear(&target, Signal::Absent, now);
     assert!(target.begin_limit_report(false, now));
 }
--- a/crates/duty/src/decide.rs
+++ b/crates/duty/src/decide.rs
@@ -13,18 +13,18 @@
     fn decide(&mut self, engines: &[Engine], demand: Demand, now: Time) -> Vec<Change>;
 }
 
-/// Decides by [`policy::roles::Roles`].
-pub struct Roles(policy::roles::Roles);
+/// Decides by [`policy::roles::RolePlanner`].
+pub struct Roles(policy::roles::RolePlanner);
 
 impl Default for Roles {
     fn default() -> Self {
-        Self(policy::roles::Roles::new(Settings::default()))
+        Self(policy::roles::RolePlanner::new(Settings::default()))
     }
 }
 
 impl Decide for Roles {
     fn set(&mut self, policy: &Policy) {
-        self.0.set(Settings::from(policy));
+        self.0.update_settings(Settings::from(policy));
     }
 
     fn decide(&mut self, engines: &[Engine], demand: Demand, now: Time) -> Vec<Change> {
--- a/crates/entry/src/board.rs
+++ b/crates/entry/src/board.rs
@@ -9,7 +9,7 @@
 use conf::Name;
 use conf::resource::Role;
 use policy::estimate::{Cost, Rates};
-use policy::outlier::{Outliers, Sample, Verdict};
+use policy::outlier::{OutlierDetector, Sample, Status};
 use policy::route::{Candidate, Choice, Load, Query, Route, Stage, Weighted};
 use policy::{Hash, Time};
 use std::collections::{BTreeMap, HashMap};
@@ -52,7 +52,7 @@
     /// How many targets serve a name.
     served: HashMap<Hash, usize>,
     route: Weighted,
-    outliers: Outliers,
+    outliers: OutlierDetector,
 }
 
 /// What is known of a target beside the candidate.
@@ -61,7 +61,7 @@
     /// What the load said was served, to notice a change without hashing.
     serves: Vec<String>,
     accepting: Option<bool>,
-    vm: policy::drain::Vm,
+    vm: policy::drain::VmState,
     up: bool,
 }
 
@@ -102,7 +102,7 @@
         let Some(&at) = inner.by_address.get(address) else { return };
         let Inner { candidates, spots, .. } = &mut *inner;
         let (candidate, spot) = (&mut candidates[at], &mut spots[at]);
-        candidate.hear(load_of(load), now);
+        candidate.update_load(load_of(load), now);
         candidate.role = role_of(&load.role, candidate.role);
         spot.accepting = Some(load.accepting);
         if spot.site.spec.is_engine() && spot.serves != load.serves {
@@ -138,7 +138,7 @@
     }
 
     /// Takes the platform's list in.
-    pub(crate) fn set_vms(&self, phase: impl Fn(&str) -> policy::drain::Vm, now: Time) {
+    pub(crate) fn set_vms(&self, phase: impl Fn(&str) -> policy::drain::VmState, now: Time) {
         let mut inner = self.lock();
         for spot in &mut inner.spots {
             spot.vm = phase(&spot.site.name);
@@ -161,15 +161,15 @@
         let picks = inner.choose(wanted, now, random);
         let probed = picks.iter().find_map(|&at| {
             let name = &inner.candidates[at].name;
-            (inner.outliers.verdict(name, now) == Verdict::Probe).then(|| (at, name.clone()))
+            (inner.outliers.status(name, now) == Status::Probe).then(|| (at, name.clone()))
         });
         if let Some((at, name)) = probed {
-            inner.outliers.probing(&name, now);
+            inner.outliers.probe_sent(&name, now);
             inner.refresh(at, now);
         }
         let chosen = picks.iter().map(|&at| inner.pick(at)).collect();
         if let Some(&first) = picks.first() {
-            inner.candidates[first].send(wanted.query.cost);
+            inner.candidates[first].record_sent(wanted.query.cost);
         }
         chosen
     }
@@ -194,7 +194,7 @@
         };
         let all = (0..inner.spots.len()).filter(eligible);
         let first = all.max_by_key(|&at| policy::mix(key, inner.candidates[at].key))?;
-        inner.candidates[first].is_able(query).then(|| inner.pick(first))
+        inner.candidates[first].can_serve(query).then(|| inner.pick(first))
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -218,9 +218,9 @@
     }
 
     fn refresh(&mut self, at: usize, now: Time) {
-        let relieved = match self.outliers.verdict(&self.candidates[at].name, now) {
-            Verdict::Normal | Verdict::Probe => false,
-            Verdict::Relieved => true,
+        let relieved = match self.outliers.status(&self.candidates[at].name, now) {
+            Status::Normal | Status::Probe => false,
+            Status::Ejected => true,
         };
         let spot = &self.spots[at];
         self.candidates[at].usable = spot.takes_work() && spot.up && !relieved;
@@ -274,7 +274,7 @@
     fn pick(&self, at: usize) -> Pick {
         let (candidate, spot) = (&self.candidates[at], &self.spots[at]);
         let Load { waiting, running, slots, cost, rates } = candidate.load;
-        let idle = candidate.heard.is_some() && waiting == 0 && running < slots;
+        let idle = candidate.reported_at.is_some() && waiting == 0 && running < slots;
         let ahead = if idle { Cost::default() } else { cost + candidate.sent };
         Pick { site: spot.site.clone(), role: candidate.role, idle, ahead, rates }
     }
@@ -291,7 +291,7 @@
 impl Spot {
     fn takes_work(&self) -> bool {
         let (phase, vm, accepting) = (self.site.spec.phase, self.vm, self.accepting);
-        policy::drain::takes_work(&policy::drain::News { phase, vm, accepting })
+        policy::drain::accepts_work(&policy::drain::Lifecycle { phase, vm, accepting })
     }
 }
 
@@ -309,7 +309,7 @@
     let mut candidate = Candidate::new(&site.name, &spec.domain, serves);
     candidate.role = spec.role.unwrap_or_default();
     candidate.load.slots = spec.slots;
-    let vm = policy::drain::Vm::Unknown;
+    let vm = policy::drain::VmState::Unknown;
     let up = site.peer.is_up();
     (candidate, Spot { site, serves: Vec::new(), accepting: None, vm, up })
 }
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -10,11 +10,11 @@
 use compact_str::CompactString;
 use conf::Name;
 use policy::Time;
-use policy::admission::{self, Admission, Ask};
+use policy::admission::{self, Admission, Request};
 use policy::estimate::{Cost, Estimator};
 use policy::limits::{Limit, Limits};
 use policy::outlier::Sample;
-use policy::quarantine::{History, Quarantine, Records, Verdict};
+use policy::quarantine::{CrashHistory, CrashRecords, Quarantine, Verdict};
 use policy::retry::Budget;
 use state::System;
 use std::collections::HashMap;
@@ -144,7 +144,7 @@
             let heard = now.saturating_sub(Duration::from_millis(sighting.age_ms));
             learnt.entries.insert(sighting.entry.clone(), heard);
             let usage: Vec<_> = sighting.usages.iter().map(usage_of).collect();
-            learnt.limits().hear(policy::hash(&sighting.entry), &usage, now);
+            learnt.limits().observe_peer(policy::hash(&sighting.entry), &usage, now);
         }
         learnt.entries.retain(|_, heard| now.saturating_sub(*heard) < ENTRY_MEMORY);
         let live = learnt.entries.len() + 1;
@@ -158,15 +158,16 @@
         let (prompt, output) = learnt.demand.rates(now);
         sighting.prompt_rate = prompt;
         sighting.output_rate = output;
-        sighting.usages = learnt.limits().tell(now).into_iter().map(told).collect();
+        sighting.usages = learnt.limits().report(now).into_iter().map(told).collect();
     }
 
     /// Refuses a prompt that can't begin before its deadline at any of the targets picked.
     pub(crate) fn admit(&self, picks: &[Pick], cost: Cost, left: Duration) -> Result<(), Failure> {
         let now = self.now();
-        let ask = Ask { cost, deadline: Some(now + left) };
+        let ask = Request { cost, deadline: Some(now + left) };
         let decide = |pick: &Pick| {
-            let view = admission::View { ahead: pick.ahead, rates: pick.rates, accepting: true };
+            let view =
+                admission::TargetState { ahead: pick.ahead, rates: pick.rates, accepting: true };
             self.admission.decide(&ask, &view, now)
         };
         let mut refusal = None;
@@ -197,7 +198,7 @@
 
     /// Notes how fast a target generated: seconds for each token.
     pub(crate) fn done(&self, target: &Name, pace: f64) {
-        self.board.sample(target, Sample::Done { pace }, self.now());
+        self.board.sample(target, Sample::Completed { seconds_per_unit: pace }, self.now());
     }
 
     /// How long to wait before another attempt; `None` if there is to be none.
@@ -270,37 +271,41 @@
 /// The log's records of crashes, as the quarantine reads them.
 struct Crashes<'a>(&'a System);
 
-impl Records for Crashes<'_> {
-    fn history(&self, fingerprint: u64) -> History {
-        let Some(suspect) = self.0.suspect(fingerprint) else { return History::default() };
+impl CrashRecords for Crashes<'_> {
+    fn history(&self, fingerprint: u64) -> CrashHistory {
+        let Some(suspect) = self.0.suspect(fingerprint) else { return CrashHistory::default() };
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
-        History {
+        CrashHistory {
             crashes: count(suspect.crashes().count()),
             alone: count(suspect.crashes().filter(|crash| crash.alone).count()),
-            on_trial: false,
+            running_alone: false,
         }
     }
 }
 
 fn refused(refusal: admission::Refusal) -> Failure {
     let (reason, detail) = match refusal.reason {
-        admission::Reason::Late => (Reason::Overloaded, "it can't begin before its deadline"),
+        admission::Reason::DeadlineUnreachable => {
+            (Reason::Overloaded, "it can't begin before its deadline")
+        }
         admission::Reason::NoTarget => (Reason::NoTarget, "no target takes new work"),
-        admission::Reason::Full => (Reason::QueueFull, "the queue is full"),
-        admission::Reason::Rate => (Reason::RateLimit, "your tokens a second are used up"),
-        admission::Reason::Concurrency => (Reason::ConcurrencyLimit, "too many requests are open"),
+        admission::Reason::QueueFull => (Reason::QueueFull, "the queue is full"),
+        admission::Reason::RateLimit => (Reason::RateLimit, "your tokens a second are used up"),
+        admission::Reason::ConcurrencyLimit => {
+            (Reason::ConcurrencyLimit, "too many requests are open")
+        }
         admission::Reason::Quarantined => (Reason::Quarantined, "it crashed targets"),
     };
     Failure::not_run(reason, detail).retry_after(refusal.retry_after)
 }
 
-fn usage_of(usage: &wire::Usage) -> policy::limits::Usage {
+fn usage_of(usage: &wire::Usage) -> policy::limits::CallerUsage {
     let wire::Usage { caller, rate, open } = *usage;
-    policy::limits::Usage { caller, rate: float(rate), open }
+    policy::limits::CallerUsage { caller, rate: float(rate), open }
 }
 
-fn told(usage: policy::limits::Usage) -> wire::Usage {
-    let policy::limits::Usage { caller, rate, open } = usage;
+fn told(usage: policy::limits::CallerUsage) -> wire::Usage {
+    let policy::limits::CallerUsage { caller, rate, open } = usage;
     wire::Usage { caller, rate: count(rate), open }
 }
 
--- a/crates/entry/src/upkeep.rs
+++ b/crates/entry/src/upkeep.rs
@@ -3,7 +3,7 @@
 use crate::daemon::Shared;
 use crate::view::View;
 use compact_str::CompactString;
-use policy::drain::Vm;
+use policy::drain::VmState;
 use policy::subset::{self, Member};
 use state::Config;
 use std::collections::HashSet;
@@ -42,7 +42,9 @@
         tokio::time::sleep(TICK).await;
         let decisions = &shared.decisions;
         decisions.board.set_vms(
-            |target| if shared.members.is_leaving(target) { Vm::Leaving } else { Vm::Unknown },
+            |target| {
+                if shared.members.is_leaving(target) { VmState::Leaving } else { VmState::Unknown }
+            },
             decisions.now(),
         );
         shared.peers.link().show(|sighting| decisions.tell(sighting));
--- a/crates/policy/benches/route.rs
+++ b/crates/policy/benches/route.rs
@@ -21,7 +21,8 @@
         let domain = format!("domain-{}", index % DOMAINS);
         let mut candidate = Candidate::new(&format!("engine-{index}"), &domain, serves);
         let cost = Cost::new(random.below(8_000) as u64, 500);
-        candidate.hear(Load { cost, running: 8, slots: 16, ..Load::default() }, Duration::ZERO);
+        candidate
+            .update_load(Load { cost, running: 8, slots: 16, ..Load::default() }, Duration::ZERO);
         candidate
     };
     (0..TARGETS).map(candidate).collect()
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -41,7 +41,7 @@
 
 /// What asks to be admitted.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// Its predicted work.
     pub cost: Cost,
     /// When its first token is due, if there is a deadline.
@@ -50,7 +50,7 @@
 
 /// What it would wait behind.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct View {
+pub struct TargetState {
     /// The work that would be served before it. At an agent this is [`crate::queue::Queue::ahead`]
     /// and what runs; at an entry the least backlog among the candidates.
     pub ahead: Cost,
@@ -64,15 +64,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// Its deadline would pass before it could start.
-    Late,
+    DeadlineUnreachable,
     /// Nothing that could serve it takes new work.
     NoTarget,
     /// The queue is full of work that goes before it.
-    Full,
+    QueueFull,
     /// The caller has used up its rate.
-    Rate,
+    RateLimit,
     /// The caller has as many requests open as it may.
-    Concurrency,
+    ConcurrencyLimit,
     /// The request crashed the targets that ran it.
     Quarantined,
 }
@@ -81,11 +81,11 @@
     /// The reason as callers and metrics see it.
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Late => "deadline-unreachable",
+            Reason::DeadlineUnreachable => "deadline-unreachable",
             Reason::NoTarget => "no-target",
-            Reason::Full => "queue-full",
-            Reason::Rate => "rate-limit",
-            Reason::Concurrency => "concurrency-limit",
+            Reason::QueueFull => "queue-full",
+            Reason::RateLimit => "rate-limit",
+            Reason::ConcurrencyLimit => "concurrency-limit",
             Reason::Quarantined => "quarantined",
         }
     }
@@ -116,7 +116,7 @@
     }
 
     /// Admits a request and tells its predicted wait, or refuses it.
-    pub fn decide(&self, ask: &Ask, view: &View, now: Time) -> Result<Duration> {
+    pub fn decide(&self, ask: &Request, view: &TargetState, now: Time) -> Result<Duration> {
         let wait = view.ahead.time(&view.rates);
         if !view.accepting {
             return Err(self.refuse(Reason::NoTarget, wait));
@@ -127,7 +127,7 @@
         let left = deadline.saturating_sub(now);
         if first_token > left.mul_f64(self.settings.margin) {
             // The work ahead has to shrink by this much before the same request would fit.
-            return Err(self.refuse(Reason::Late, first_token.saturating_sub(left)));
+            return Err(self.refuse(Reason::DeadlineUnreachable, first_token.saturating_sub(left)));
         }
         Ok(wait)
     }
@@ -137,7 +137,7 @@
     ///
     /// If all that comes were read at once, the queues in front of the reading engines, which are
     /// fair, would be empty, and a flood would wait where nothing is fair.
-    pub fn has_room(&self, begun: Cost, rates: &Rates) -> bool {
+    pub fn may_start_prefill(&self, begun: Cost, rates: &Rates) -> bool {
         Cost::new(0, begun.decode).time(rates) < self.settings.gap
     }
 
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -33,29 +33,29 @@
 
 /// Engines that the load keeps busy from now on until a change would take effect.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct ProjectedLoad {
     /// Engines that read.
-    pub readers: f64,
+    pub prefill: f64,
     /// Engines that write.
-    pub writers: f64,
+    pub decode: f64,
 }
 
 /// How many engines there are, those that are about to change counted as what they will be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pool {
     /// Engines that read.
-    pub readers: usize,
+    pub prefill: usize,
     /// Engines that write.
-    pub writers: usize,
+    pub decode: usize,
 }
 
 /// How many engines should read, if one part is short of them and that can be mended.
-pub fn wanted(settings: &Settings, load: &Load, pool: Pool) -> Option<usize> {
-    let (readers, writers) = (engines(pool.readers), engines(pool.writers));
+pub fn rebalance(settings: &Settings, load: &ProjectedLoad, pool: Pool) -> Option<usize> {
+    let (readers, writers) = (engines(pool.prefill), engines(pool.decode));
     // Streams that wait for a place are there only until more engines write.
-    let waiting = (load.writers - writers).max(0.0) * settings.waiting;
-    let writing = load.writers.min(writers) + waiting;
-    let (read, write) = (load.readers / settings.reading, writing / settings.writing);
+    let waiting = (load.decode - writers).max(0.0) * settings.waiting;
+    let writing = load.decode.min(writers) + waiting;
+    let (read, write) = (load.prefill / settings.reading, writing / settings.writing);
     let slack = settings.slack.max((readers + writers) * settings.slack_share);
     let (short_reads, short_writes) = (read - readers, write - writers);
     let wanted = if short_reads > 0.0 && short_writes > 0.0 {
@@ -68,25 +68,30 @@
         return None;
     };
     let wanted = usize::try_from(count(wanted)).ok()?;
-    let moved = engines(wanted.abs_diff(pool.readers));
+    let moved = engines(wanted.abs_diff(pool.prefill));
     (moved >= slack).then_some(wanted)
 }
 
 /// How many engines should read once no part is short, if `lent` of those that write did read before: as
 /// many of them come back as the other part can do without.
-pub fn returned(settings: &Settings, load: &Load, pool: Pool, lent: usize) -> Option<usize> {
-    let all = pool.readers + pool.writers;
+pub fn restore(
+    settings: &Settings,
+    load: &ProjectedLoad,
+    pool: Pool,
+    lent: usize,
+) -> Option<usize> {
+    let all = pool.prefill + pool.decode;
     let slack = settings.slack.max(engines(all) * settings.slack_share);
-    let least = (load.writers / settings.writing).ceil();
-    let spare = usize::try_from(count(engines(pool.writers) - least)).ok()?;
-    let wanted = pool.readers + spare.min(lent);
-    (engines(wanted) - engines(pool.readers) >= slack).then_some(wanted)
+    let least = (load.decode / settings.writing).ceil();
+    let spare = usize::try_from(count(engines(pool.decode) - least)).ok()?;
+    let wanted = pool.prefill + spare.min(lent);
+    (engines(wanted) - engines(pool.prefill) >= slack).then_some(wanted)
 }
 
 /// Whether neither part is short in a pool.
-pub fn fits(settings: &Settings, load: &Load, pool: Pool) -> bool {
-    load.readers <= engines(pool.readers) * settings.reading
-        && load.writers <= engines(pool.writers) * settings.writing
+pub fn is_sufficient(settings: &Settings, load: &ProjectedLoad, pool: Pool) -> bool {
+    load.prefill <= engines(pool.prefill) * settings.reading
+        && load.decode <= engines(pool.decode) * settings.writing
 }
 
 fn engines(count: usize) -> f64 {
--- a/crates/policy/src/binding.rs
+++ b/crates/policy/src/binding.rs
@@ -13,7 +13,7 @@
 
 /// What a candidate's queue looks like when a request comes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Server {
+pub struct QueueState {
     /// Requests that wait or run there and are bound to it.
     pub bound: usize,
     /// All requests that wait there, bound to it or only offered.
@@ -35,7 +35,7 @@
 
 /// Where a request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Place {
+pub enum Placement {
     /// It is bound to the candidate with this index; the other may steal it if the policy does so.
     Bound(usize),
     /// It waits at all candidates and is bound to none.
@@ -48,13 +48,13 @@
     fn name(&self) -> &'static str;
 
     /// Where a new request waits, none of whose candidates could start it at once.
-    fn place(&self, candidates: &[Server]) -> Place;
+    fn place(&self, candidates: &[QueueState]) -> Placement;
 
     /// Which of the requests in its queue, oldest first, a target starts when it can.
     fn next(&self, queue: &[Offer]) -> Option<usize>;
 
     /// Whether candidates hear of requests that are bound elsewhere, which costs a message each.
-    fn tells_all(&self) -> bool;
+    fn notifies_all(&self) -> bool;
 }
 
 /// Binds at once to the candidate with the fewest requests.
@@ -73,10 +73,10 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LazySharing;
 
-fn shortest(candidates: &[Server]) -> Place {
+fn shortest(candidates: &[QueueState]) -> Placement {
     let indexed = candidates.iter().enumerate();
     let least = indexed.min_by_key(|(_, server)| server.bound).map(|(index, _)| index);
-    Place::Bound(least.unwrap_or(0))
+    Placement::Bound(least.unwrap_or(0))
 }
 
 impl Binding for ShortestQueue {
@@ -84,7 +84,7 @@
         "shortest queue"
     }
 
-    fn place(&self, candidates: &[Server]) -> Place {
+    fn place(&self, candidates: &[QueueState]) -> Placement {
         shortest(candidates)
     }
 
@@ -92,7 +92,7 @@
         queue.iter().position(|offer| offer.bound)
     }
 
-    fn tells_all(&self) -> bool {
+    fn notifies_all(&self) -> bool {
         false
     }
 }
@@ -102,7 +102,7 @@
         "stealing"
     }
 
-    fn place(&self, candidates: &[Server]) -> Place {
+    fn place(&self, candidates: &[QueueState]) -> Placement {
         shortest(candidates)
     }
 
@@ -111,7 +111,7 @@
         own.or(if queue.is_empty() { None } else { Some(0) })
     }
 
-    fn tells_all(&self) -> bool {
+    fn notifies_all(&self) -> bool {
         true
     }
 }
@@ -121,15 +121,15 @@
         "lazy queue"
     }
 
-    fn place(&self, _: &[Server]) -> Place {
-        Place::Offered
+    fn place(&self, _: &[QueueState]) -> Placement {
+        Placement::Offered
     }
 
     fn next(&self, queue: &[Offer]) -> Option<usize> {
         if queue.is_empty() { None } else { Some(0) }
     }
 
-    fn tells_all(&self) -> bool {
+    fn notifies_all(&self) -> bool {
         true
     }
 }
@@ -139,8 +139,8 @@
         "lazy sharing"
     }
 
-    fn place(&self, _: &[Server]) -> Place {
-        Place::Offered
+    fn place(&self, _: &[QueueState]) -> Placement {
+        Placement::Offered
     }
 
     /// The first request for which fewer wait after it here than wait at its other candidate. The
@@ -154,13 +154,13 @@
         found.or(if queue.is_empty() { None } else { Some(0) })
     }
 
-    fn tells_all(&self) -> bool {
+    fn notifies_all(&self) -> bool {
         true
     }
 }
 
 /// The way in force: the shortest tail, and it needs to know nothing of other queues.
-pub fn in_force() -> Box<dyn Binding> {
+pub fn default_binding() -> Box<dyn Binding> {
     Box::new(LazyQueue)
 }
 
--- a/crates/policy/src/dial.rs
+++ b/crates/policy/src/connect_timeout.rs
@@ -28,7 +28,7 @@
 
 /// What connections to each failure domain took lately.
 #[derive(Debug, Clone, Default)]
-pub struct Dial {
+pub struct ConnectTimeouts {
     domains: HashMap<Hash, Seen>,
 }
 
@@ -38,7 +38,7 @@
     last: Time,
 }
 
-impl Dial {
+impl ConnectTimeouts {
     /// Takes in how long it took to open one.
     pub fn sample(&mut self, domain: Hash, took: Duration, now: Time) {
         let seen = self.domains.entry(domain).or_insert(Seen { longest: took, last: now });
@@ -46,7 +46,7 @@
     }
 
     /// How long the next one is waited for.
-    pub fn patience(&self, domain: Hash, now: Time) -> Duration {
+    pub fn timeout(&self, domain: Hash, now: Time) -> Duration {
         let seen = self.domains.get(&domain);
         let seen = seen.filter(|seen| now.saturating_sub(seen.last) < FORGOTTEN);
         seen.map_or(MOST, |seen| (seen.longest * TIMES).clamp(LEAST, MOST))
--- a/crates/policy/src/writers.rs
+++ b/crates/policy/src/decode.rs
@@ -20,25 +20,26 @@
 
 /// An engine that could write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Writer {
+pub struct DecodeCandidate {
     /// Whether it can't be reached or says nothing.
-    pub away: bool,
+    pub unavailable: bool,
     /// Whether it is about to read instead.
     pub changing: bool,
     /// How much longer than usual KV cache takes to get there.
-    pub handover: Duration,
+    pub transfer_excess: Duration,
     /// Streams that it writes, as far as is known.
     pub streams: u32,
     /// Streams that it can write at once.
     pub slots: u32,
     /// Whether the KV cache comes from its own failure domain.
-    pub near: bool,
+    pub same_domain: bool,
 }
 
-impl Writer {
+impl DecodeCandidate {
     /// Whether it can be counted on and streams fill less than this share of its slots, in hundredths.
     pub fn has_room(&self, filled: u32) -> bool {
-        !self.away && u64::from(self.streams) * 100 < u64::from(self.slots) * u64::from(filled)
+        !self.unavailable
+            && u64::from(self.streams) * 100 < u64::from(self.slots) * u64::from(filled)
     }
 }
 
@@ -54,14 +55,14 @@
 }
 
 /// The rank of a writer for an output whose first token is wanted within `objective`.
-pub fn rank(writer: &Writer, objective: Duration) -> Rank {
+pub fn rank(writer: &DecodeCandidate, objective: Duration) -> Rank {
     let step = objective.mul_f64(SLOW_STEP).max(Duration::from_millis(1));
     Rank {
-        away: writer.away,
+        away: writer.unavailable,
         changing: writer.changing,
-        slow: writer.handover.as_micros() / step.as_micros(),
+        slow: writer.transfer_excess.as_micros() / step.as_micros(),
         filled: writer.streams / (writer.slots / FILL_PARTS).max(1),
-        far: !writer.near,
+        far: !writer.same_domain,
         streams: writer.streams,
     }
 }
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -8,7 +8,7 @@
 //! highest demand lately counts, since it is what decides who is refused.
 //!
 
-use crate::balance::Load;
+use crate::balance::ProjectedLoad;
 use crate::number::float;
 use std::time::Duration;
 
@@ -31,18 +31,18 @@
 
 /// What one engine of a pool does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
+pub struct EngineProfile {
     /// Tokens that it reads in a second.
-    pub reading: f64,
+    pub prefill_rate: f64,
     /// Seconds that a stream takes for a token.
-    pub step: f64,
+    pub token_time: f64,
     /// Streams that it writes at once.
-    pub places: u32,
+    pub max_streams: u32,
 }
 
 /// The demand on a pool.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Demand {
+pub struct DemandTracker {
     reading: Level,
     streams: Level,
     /// The highest demand of the last seconds for reading.
@@ -68,16 +68,16 @@
 
 /// Engines that a demand would keep busy, of either part.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Need {
+pub struct PeakLoad {
     /// Engines that read.
-    pub readers: f64,
+    pub prefill: f64,
     /// Engines that write.
-    pub writers: f64,
+    pub decode: f64,
     /// For how long demand was observed.
     pub observed: Duration,
 }
 
-impl Demand {
+impl DemandTracker {
     /// Takes in how many tokens to be read were asked for within the last `elapsed`, and how many
     /// streams there are.
     pub fn observe(&mut self, prompt: u64, streams: u32, elapsed: Duration) {
@@ -95,12 +95,12 @@
 
     /// Engines that the load keeps busy until `ahead` from now: of reading as much as in the last
     /// seconds, of streams as many as there will be if they go on rising.
-    pub fn load(&self, pace: &Pace, ahead: Duration) -> Load {
+    pub fn projected_load(&self, pace: &EngineProfile, ahead: Duration) -> ProjectedLoad {
         let rise = (self.streams.now - self.slow).max(0.0) / (RISE - SPAN) * ahead.as_secs_f64();
         let streams = self.streams.now + rise.min(self.streams.now * MOST_RISE);
-        Load {
-            readers: self.recent / pace.reading,
-            writers: streams / f64::from(pace.places.max(1)),
+        ProjectedLoad {
+            prefill: self.recent / pace.prefill_rate,
+            decode: streams / f64::from(pace.max_streams.max(1)),
         }
     }
 
@@ -110,10 +110,10 @@
     }
 
     /// The engines that the highest demand lately would keep busy.
-    pub fn need(&self, pace: &Pace) -> Need {
-        Need {
-            readers: self.reading.peak / pace.reading,
-            writers: self.streams.peak / f64::from(pace.places.max(1)),
+    pub fn peak_load(&self, pace: &EngineProfile) -> PeakLoad {
+        PeakLoad {
+            prefill: self.reading.peak / pace.prefill_rate,
+            decode: self.streams.peak / f64::from(pace.max_streams.max(1)),
             observed: Duration::from_secs_f64(self.observed),
         }
     }
@@ -121,7 +121,7 @@
 
 /// How long a stream takes for a token, learnt from the time between pieces of output.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Step {
+pub struct TokenTime {
     tokens: f64,
     seconds: f64,
 }
@@ -132,7 +132,7 @@
 /// Tokens of output after which something is concluded.
 const LEAST_TOKENS: f64 = 500.0;
 
-impl Step {
+impl TokenTime {
     /// Takes in that `tokens` tokens of a stream took this long.
     pub fn sample(&mut self, tokens: u32, took: Duration) {
         self.tokens = self.tokens * KEPT + f64::from(tokens);
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -11,7 +11,7 @@
 
 /// The platform's word about a target's VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Vm {
+pub enum VmState {
     /// Its list does not name the VM, or could not be read.
     #[default]
     Unknown,
@@ -23,24 +23,24 @@
 
 /// All that an entry has heard about whether a target stays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct Lifecycle {
     /// What operators configured.
     pub phase: Phase,
     /// What the platform's list says.
-    pub vm: Vm,
+    pub vm: VmState,
     /// What the agent said last, if anything.
     pub accepting: Option<bool>,
 }
 
 /// Whether a target may get new work.
-pub fn takes_work(news: &News) -> bool {
+pub fn accepts_work(news: &Lifecycle) -> bool {
     let configured = match news.phase {
         Phase::Active => true,
         Phase::Joining | Phase::Leaving => false,
     };
     let stays = match news.vm {
-        Vm::Unknown | Vm::Live => true,
-        Vm::Leaving => false,
+        VmState::Unknown | VmState::Live => true,
+        VmState::Leaving => false,
     };
     configured && stays && news.accepting.unwrap_or(true)
 }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/extra_budget.rs
@@ -44,30 +44,30 @@
 
 /// The extras of one service at one entry.
 #[derive(Debug)]
-pub struct Window {
+pub struct ExtraBudget {
     settings: Settings,
     steps: VecDeque<Step>,
 }
 
-impl Window {
+impl ExtraBudget {
     /// An empty window.
     pub fn new(settings: Settings) -> Self {
         Self { settings, steps: VecDeque::new() }
     }
 
     /// Books a request.
-    pub fn request(&mut self, now: Time) {
+    pub fn record_request(&mut self, now: Time) {
         self.step(now).requests += 1;
     }
 
     /// Books an extra that happened already, such as a sending that the target refused.
-    pub fn owe(&mut self, now: Time) {
+    pub fn record_extra(&mut self, now: Time) {
         self.step(now).extras += 1;
     }
 
     /// Books an extra if there may be another at one of `entries` entries.
     #[must_use]
-    pub fn spend(&mut self, entries: u32, now: Time) -> bool {
+    pub fn try_spend(&mut self, entries: u32, now: Time) -> bool {
         self.step(now);
         let requests: u64 = self.steps.iter().map(|step| step.requests).sum();
         let extras: u64 = self.steps.iter().map(|step| step.extras).sum();
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -54,7 +54,7 @@
 
 /// One caller's traffic at one entry, as told to others.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Usage {
+pub struct CallerUsage {
     /// The hash of the caller's name.
     pub caller: Hash,
     /// Tokens a second that it asks for there, on average.
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 struct News {
     heard: Time,
-    usage: HashMap<Hash, Usage>,
+    usage: HashMap<Hash, CallerUsage>,
 }
 
 /// Enforces this entry's share of all limits.
@@ -102,7 +102,7 @@
     }
 
     /// Takes in what another entry told about its callers.
-    pub fn hear(&mut self, entry: Hash, usage: &[Usage], now: Time) {
+    pub fn observe_peer(&mut self, entry: Hash, usage: &[CallerUsage], now: Time) {
         let stale = self.settings.stale;
         self.news.retain(|_, news| now.saturating_sub(news.heard) <= stale);
         let usage = usage.iter().map(|usage| (usage.caller, *usage)).collect();
@@ -110,12 +110,13 @@
     }
 
     /// The callers that this entry serves most, to tell the others.
-    pub fn tell(&self, now: Time) -> Vec<Usage> {
+    pub fn report(&self, now: Time) -> Vec<CallerUsage> {
         let all = self.accounts.iter().map(|(caller, account)| {
             let rate = account.rate_at(now, self.settings.window);
-            Usage { caller: crate::hash(caller), rate, open: account.open }
+            CallerUsage { caller: crate::hash(caller), rate, open: account.open }
         });
-        let mut all: Vec<Usage> = all.filter(|usage| usage.rate >= 1.0 || usage.open > 0).collect();
+        let mut all: Vec<CallerUsage> =
+            all.filter(|usage| usage.rate >= 1.0 || usage.open > 0).collect();
         all.sort_by(|a, b| b.rate.total_cmp(&a.rate).then(a.caller.cmp(&b.caller)));
         all.truncate(self.settings.told);
         all
@@ -141,7 +142,7 @@
         account.demand(float(tokens), now, window);
         let open = (f64::from(limit.concurrency) * share).max(1.0).round();
         if limit.concurrency > 0 && f64::from(account.open) >= open {
-            return Err(Refusal { reason: Reason::Concurrency, retry_after: LEAST_RETRY });
+            return Err(Refusal { reason: Reason::ConcurrencyLimit, retry_after: LEAST_RETRY });
         }
         if limit.tokens_per_second > 0 {
             let rate = f64::from(limit.tokens_per_second) * share;
@@ -213,7 +214,7 @@
         let needed = tokens.min(most);
         if self.tokens + f64::EPSILON < needed {
             let wait = span((needed - self.tokens) / rate.max(f64::MIN_POSITIVE));
-            return Err(Refusal { reason: Reason::Rate, retry_after: wait.max(LEAST_RETRY) });
+            return Err(Refusal { reason: Reason::RateLimit, retry_after: wait.max(LEAST_RETRY) });
         }
         self.tokens -= tokens;
         Ok(())
--- a/crates/policy/src/link.rs
+++ b/crates/policy/src/link.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The link's rate in bytes a second.
-    pub rate: f64,
+    pub bytes_per_second: f64,
     /// The part of the rate that requests may fill. Heads, acknowledgements, answers to callers
     /// and what other processes send take the rest.
     pub usable: f64,
@@ -31,7 +31,13 @@
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { rate: 125e6, usable: 0.8, share: 0.3, ahead: Duration::from_millis(5), small: 2_048 }
+        Self {
+            bytes_per_second: 125e6,
+            usable: 0.8,
+            share: 0.3,
+            ahead: Duration::from_millis(5),
+            small: 2_048,
+        }
     }
 }
 
@@ -80,6 +86,6 @@
     }
 
     fn takes(&self, bytes: u64) -> Duration {
-        span(float(bytes) / (self.settings.rate * self.settings.usable))
+        span(float(bytes) / (self.settings.bytes_per_second * self.settings.usable))
     }
 }
--- a/crates/policy/src/model/late.rs
+++ b/crates/policy/src/model/late.rs
@@ -6,7 +6,7 @@
 
 use super::Random;
 use super::table::Table;
-use crate::binding::{self, Binding, Offer, Place, Server};
+use crate::binding::{self, Binding, Offer, Placement, QueueState};
 use crate::number::{count, float};
 use hdrhistogram::Histogram;
 use std::cmp::Reverse;
@@ -170,25 +170,25 @@
             return self.start(id, candidates[free], now);
         }
         let bound = match self.way.place(&servers) {
-            Place::Bound(index) => Some(index),
-            Place::Offered => None,
+            Placement::Bound(index) => Some(index),
+            Placement::Offered => None,
         };
         self.requests[id].bound = bound;
-        if self.way.tells_all() {
+        if self.way.notifies_all() {
             self.messages += 1;
         }
         for (index, target) in candidates.into_iter().enumerate() {
-            if self.way.tells_all() || bound == Some(index) {
+            if self.way.notifies_all() || bound == Some(index) {
                 self.targets[target].queue.push_back(id);
             }
         }
     }
 
-    fn server(&self, target: usize) -> Server {
+    fn server(&self, target: usize) -> QueueState {
         let Target { queue, running } = &self.targets[target];
         let bound = queue.iter().filter(|&&id| self.bound_to(id) == Some(target)).count();
         let idle = *running < self.setup.slots;
-        Server { bound: bound + running, offered: queue.len(), idle }
+        QueueState { bound: bound + running, offered: queue.len(), idle }
     }
 
     fn bound_to(&self, id: usize) -> Option<usize> {
@@ -201,7 +201,7 @@
             self.targets[target].queue.iter().map(|&id| self.offer(id, target)).collect();
         let Some(index) = self.way.next(&offers) else { return };
         let id = self.targets[target].queue[index];
-        let told = self.way.tells_all();
+        let told = self.way.notifies_all();
         let claimed = told && self.bound_to(id) != Some(target);
         // A claim and its grant, then the withdrawal at the other; or that withdrawal alone.
         self.messages += if claimed { 3 } else { u64::from(told) };
--- a/crates/policy/src/model/oracle.rs
+++ b/crates/policy/src/model/oracle.rs
@@ -8,7 +8,7 @@
 use crate::Time;
 use crate::estimate::Rates;
 use crate::number::{count, float};
-use crate::roles::{Change, Demand, Engine, Fleet, Planner, Settings};
+use crate::roles::{Change, Demand, Engine, Planner, PoolCapacity, Settings};
 use conf::resource::Role;
 use std::collections::HashMap;
 
@@ -158,7 +158,7 @@
             (Role::Decode, from.decode.min(to.decode)),
             (Role::Mixed, mixed(from).min(mixed(to))),
         ];
-        let fleet = groups.into_iter().fold(Fleet::default(), |fleet, (role, many)| {
+        let fleet = groups.into_iter().fold(PoolCapacity::default(), |fleet, (role, many)| {
             (0..many).fold(fleet, |fleet, _| fleet.with(role, rates))
         });
         let changes = float(u64::try_from(self.changes(from, to)).unwrap_or(0));
--- a/crates/policy/src/model/parted.rs
+++ b/crates/policy/src/model/parted.rs
@@ -1,5 +1,5 @@
-//! A model of engines that read prompts for others that write, for [`crate::prompts`],
-//! [`crate::writers`], [`crate::patience`] and [`crate::split`].
+//! A model of engines that read prompts for others that write, for [`crate::prefill`],
+//! [`crate::decode`], [`crate::retry_detection`] and [`crate::split`].
 //!
 //! Engines are modelled step by step: an engine that reads takes prompts one after another, by
 //! urgency, and reads what it does not keep; KV cache goes through both ends' links, on which
--- a/crates/policy/src/model/parted/compare.rs
+++ b/crates/policy/src/model/parted/compare.rs
@@ -2,7 +2,7 @@
 
 use super::{Figures, Options, run, swinging};
 use crate::model::table::Table;
-use crate::{prompts, split};
+use crate::{prefill, split};
 use std::time::Duration;
 
 /// Compares the shipped decisions with others, one changed at a time, under a load that swings.
@@ -72,21 +72,24 @@
 fn ways() -> Vec<(&'static str, Options)> {
     let options = Options::default();
     let prompts = |prompts| Options { prompts, ..Options::default() };
-    let settings = prompts::Settings::default();
+    let settings = prefill::Settings::default();
     let readers = |readers| Options {
-        split: split::Settings { fixed: Some(readers), ..split::Settings::default() },
+        split: split::Settings { fixed_share: Some(readers), ..split::Settings::default() },
         ..Options::default()
     };
     vec![
         ("lapismast", options.clone()),
-        ("no copies", prompts(prompts::Settings { least_copy: u64::MAX / 2, ..settings.clone() })),
+        (
+            "no copies",
+            prompts(prefill::Settings { min_copy_tokens: u64::MAX / 2, ..settings.clone() }),
+        ),
         (
             "latecomers like fresh ones",
-            prompts(prompts::Settings { late_part: 1.0, ..settings.clone() }),
+            prompts(prefill::Settings { late_fraction: 1.0, ..settings.clone() }),
         ),
         ("writers anywhere", Options { near: false, ..options.clone() }),
-        ("105 ms left", prompts(prompts::Settings { reserve: ms(105), ..settings.clone() })),
-        ("20 ms left", prompts(prompts::Settings { reserve: ms(20), ..settings })),
+        ("105 ms left", prompts(prefill::Settings { reserve: ms(105), ..settings.clone() })),
+        ("20 ms left", prompts(prefill::Settings { reserve: ms(20), ..settings })),
         ("news after 100 ms", Options { news: 0.1, ..options }),
         ("0.50 read", readers(0.5)),
         ("0.57 read", readers(0.57)),
--- a/crates/policy/src/model/parted/fleet.rs
+++ b/crates/policy/src/model/parted/fleet.rs
@@ -3,13 +3,13 @@
 use super::engine::{Engine, Figures, Stream, Waiting};
 use super::traffic::{Class, Request, Traffic};
 use super::{Ended, Outcome};
-use crate::demand::{Demand, Pace};
-use crate::handover::Handover;
+use crate::decode::{self, DecodeCandidate};
+use crate::demand::{DemandTracker, EngineProfile};
 use crate::model::Random;
 use crate::number::float;
-use crate::patience::Patience;
-use crate::prompts::{self, Place, Reader};
-use crate::writers::{self, Writer};
+use crate::prefill::{self, Placement, PrefillCandidate};
+use crate::retry_detection::RetryDetector;
+use crate::transfer::TransferTime;
 use crate::{Hash, Time, split};
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How prompts are placed.
-    pub prompts: prompts::Settings,
+    pub prompts: prefill::Settings,
     /// How engines are split.
     pub split: split::Settings,
     /// Engines.
@@ -41,7 +41,7 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            prompts: prompts::Settings::default(),
+            prompts: prefill::Settings::default(),
             split: split::Settings::default(),
             engines: 14,
             entries: 5,
@@ -107,7 +107,8 @@
         }
         if backlog + float(request.own)
             <= rate
-                * (SLICE + prompts::most(&options.prompts, &request.prompt(false)).as_secs_f64())
+                * (SLICE
+                    + prefill::max_duration(&options.prompts, &request.prompt(false)).as_secs_f64())
         {
             backlog += float(request.own);
             fit += 1;
@@ -119,10 +120,14 @@
 /// How many engines read: the split that a load not yet seen gets.
 fn readers(figures: &Figures, options: &Options) -> usize {
     let places = u32::try_from(figures.slots).unwrap_or(u32::MAX);
-    let pace = Pace { reading: figures.reading, step: figures.usual_step(), places };
-    let unseen = Demand::default().need(&pace);
-    let share = split::share(&options.split, &pace, &unseen);
-    split::wanted(&options.split, share, options.engines, 0)
+    let pace = EngineProfile {
+        prefill_rate: figures.reading,
+        token_time: figures.usual_step(),
+        max_streams: places,
+    };
+    let unseen = DemandTracker::default().peak_load(&pace);
+    let share = split::prefill_share(&options.split, &pace, &unseen);
+    split::desired_prefill(&options.split, share, options.engines, 0)
 }
 
 struct Fleet {
@@ -135,9 +140,9 @@
     streams: Vec<Vec<u32>>,
     /// The same as all entries together had them when entries last heard.
     heard: (Vec<Vec<u64>>, Vec<Vec<u32>>),
-    handed: Vec<Handover>,
-    taken: Vec<Handover>,
-    patience: Patience,
+    handed: Vec<TransferTime>,
+    taken: Vec<TransferTime>,
+    patience: RetryDetector,
     read_before: HashSet<u32>,
     events: BTreeMap<(u64, u64), Event>,
     order: u64,
@@ -161,9 +166,9 @@
             heard: (work.clone(), streams.clone()),
             reading: work,
             streams,
-            handed: vec![Handover::default(); options.engines],
-            taken: vec![Handover::default(); options.engines],
-            patience: Patience::default(),
+            handed: vec![TransferTime::default(); options.engines],
+            taken: vec![TransferTime::default(); options.engines],
+            patience: RetryDetector::default(),
             read_before: HashSet::new(),
             events: BTreeMap::new(),
             order: 0,
@@ -228,18 +233,18 @@
         })
     }
 
-    fn readers(&self, entry: usize, request: &Request) -> Vec<Reader> {
+    fn readers(&self, entry: usize, request: &Request) -> Vec<PrefillCandidate> {
         let reader = |at: usize| {
             let engine = &self.engines[at];
             let (waiting, streams) = self.known(entry, at);
-            Reader {
+            PrefillCandidate {
                 key: self.keys[at],
-                writes: !engine.reads,
-                waiting,
-                kept: engine.kept(request),
+                decodes: !engine.reads,
+                queued_tokens: waiting,
+                cached_tokens: engine.kept(request),
                 // Engines that write don't read in this model.
-                filled: if engine.reads { f64::from(streams) } else { 1.0 },
-                handover: self.handed[at].excess(self.time()),
+                slot_usage: if engine.reads { f64::from(streams) } else { 1.0 },
+                transfer_excess: self.handed[at].excess(self.time()),
                 domain: engine.domain,
             }
         };
@@ -251,15 +256,15 @@
         let left =
             Duration::from_secs_f64((request.first_asked + request.deadline - self.now).max(0.0));
         let objective = Duration::from_secs_f64(request.objective);
-        let late = request.class == Class::Long && self.patience.has_waited(left, objective);
+        let late = request.class == Class::Long && self.patience.is_retry(left, objective);
         let readers = self.readers(entry, &request);
-        match prompts::place(&self.options.prompts, &request.prompt(late), &readers, 1) {
-            Place::Full(soonest) => self.refuse(request, soonest, left),
-            Place::Read { at, copy_from, tokens } => {
+        match prefill::place(&self.options.prompts, &request.prompt(late), &readers, 1) {
+            Placement::Full(soonest) => self.refuse(request, soonest, left),
+            Placement::Prefill { at, copy_from, tokens } => {
                 self.reading[entry][at] += tokens;
                 self.order += 1;
                 let rank = u8::from(request.class == Class::Short);
-                let urgency = prompts::urgency(&self.options.prompts, tokens, rank);
+                let urgency = prefill::priority(&self.options.prompts, tokens, rank);
                 let order = self.order;
                 let (copied, ready) = self.copy(copy_from, at, &request);
                 let waiting = Waiting { request, entry, tokens, copied, urgency, order };
@@ -275,7 +280,7 @@
         }
         request.refused += 1;
         let random = self.random.unit();
-        let back = prompts::come_back(&self.options.prompts, soonest, left, random);
+        let back = prefill::retry_after(&self.options.prompts, soonest, left, random);
         let way = WAY + self.way();
         self.push(self.now + back.as_secs_f64() + way, Event::Arrives(request));
     }
@@ -351,14 +356,15 @@
         let slots = u32::try_from(self.figures.slots).unwrap_or(u32::MAX);
         let able: Vec<_> = (0..self.engines.len()).filter(|&at| !self.engines[at].reads).collect();
         let ranked = able.into_iter().map(|at| {
-            let writer = Writer {
-                handover: self.taken[at].excess(self.time()),
+            let writer = DecodeCandidate {
+                transfer_excess: self.taken[at].excess(self.time()),
                 streams: self.known(entry, at).1,
                 slots,
-                near: !self.options.near || self.engines[at].domain == self.engines[from].domain,
-                ..Writer::default()
+                same_domain: !self.options.near
+                    || self.engines[at].domain == self.engines[from].domain,
+                ..DecodeCandidate::default()
             };
-            (writers::rank(&writer, objective), at)
+            (decode::rank(&writer, objective), at)
         });
         let ranked: Vec<_> = ranked.collect();
         let best = ranked.iter().map(|(rank, _)| *rank).min();
--- a/crates/policy/src/model/parted/traffic.rs
+++ b/crates/policy/src/model/parted/traffic.rs
@@ -1,7 +1,7 @@
 //! What callers ask for: long prompts that share parts, and short ones with long output, in swings.
 
 use crate::model::Random;
-use crate::prompts::Prompt;
+use crate::prefill::Prompt;
 use std::time::Duration;
 
 /// The kind of a request.
@@ -47,7 +47,7 @@
     pub fn prompt(&self, late: bool) -> Prompt {
         let start = self.shared.iter().fold(0, |hash, (id, _)| crate::mix(hash, (*id).into()));
         let objective = Duration::from_secs_f64(self.objective);
-        Prompt { start, tokens: self.tokens(), objective, late }
+        Prompt { prefix_hash: start, tokens: self.tokens(), objective, late }
     }
 }
 
--- a/crates/policy/src/model/pool.rs
+++ b/crates/policy/src/model/pool.rs
@@ -13,8 +13,8 @@
 use crate::estimate::{Cost, Estimator};
 use crate::limits::Limits;
 use crate::number::{count, float, span};
-use crate::outlier::Outliers;
-use crate::quarantine::{History, Quarantine, Records};
+use crate::outlier::OutlierDetector;
+use crate::quarantine::{CrashHistory, CrashRecords, Quarantine};
 use crate::retry::Budget;
 use crate::roles::{Demand, Planner};
 use crate::route::{Candidate, Route};
@@ -90,7 +90,7 @@
 struct Entry {
     candidates: Vec<Candidate>,
     route: Box<dyn Route>,
-    outliers: Outliers,
+    outliers: OutlierDetector,
     budget: Budget,
     limits: Limits,
     estimator: Estimator,
@@ -99,10 +99,10 @@
 
 /// The records of crashes, as the log holds them.
 #[derive(Default)]
-struct Crashes(HashMap<Hash, History>);
+struct Crashes(HashMap<Hash, CrashHistory>);
 
-impl Records for Crashes {
-    fn history(&self, fingerprint: u64) -> History {
+impl CrashRecords for Crashes {
+    fn history(&self, fingerprint: u64) -> CrashHistory {
         self.0.get(&fingerprint).copied().unwrap_or_default()
     }
 }
@@ -229,11 +229,11 @@
     /// Lets entries tell each other about their callers.
     fn gossip(&mut self) {
         let now = self.time();
-        let told: Vec<_> = self.entries.iter().map(|entry| entry.limits.tell(now)).collect();
+        let told: Vec<_> = self.entries.iter().map(|entry| entry.limits.report(now)).collect();
         for (index, entry) in self.entries.iter_mut().enumerate() {
             let others = told.iter().enumerate().filter(|(other, _)| *other != index);
             for (other, usage) in others {
-                entry.limits.hear(crate::hash(&format!("entry-{other}")), usage, now);
+                entry.limits.observe_peer(crate::hash(&format!("entry-{other}")), usage, now);
             }
         }
     }
@@ -292,7 +292,7 @@
         Self {
             candidates: plan.engines.iter().enumerate().map(candidate).collect(),
             route: (setup.route)(),
-            outliers: Outliers::default(),
+            outliers: OutlierDetector::default(),
             budget: Budget::default(),
             limits,
             estimator: Estimator::default(),
--- a/crates/policy/src/model/pool/crash.rs
+++ b/crates/policy/src/model/pool/crash.rs
@@ -105,7 +105,7 @@
         history.crashes += 1;
         if self.engines[engine].exclusive == Some(call) {
             history.alone += 1;
-            history.on_trial = false;
+            history.running_alone = false;
         }
     }
 
@@ -135,14 +135,14 @@
             return self.wait_for_trial(call);
         };
         let fingerprint = self.fingerprint(call);
-        self.crashes.0.entry(fingerprint).or_default().on_trial = true;
+        self.crashes.0.entry(fingerprint).or_default().running_alone = true;
         self.engines[engine].exclusive = Some(call);
         self.kick(engine);
     }
 
     pub(super) fn wait_for_trial(&mut self, call: CallIndex) {
         if self.is_given_up(call) {
-            return self.end(call, Outcome::Refused(Reason::Late));
+            return self.end(call, Outcome::Refused(Reason::DeadlineUnreachable));
         }
         self.after(TRIAL_WAIT, Event::Submit(call));
     }
@@ -164,9 +164,9 @@
         if self.is_given_up(call) {
             // A trial that nobody waits for would only risk a second engine.
             let fingerprint = self.fingerprint(call);
-            self.crashes.0.entry(fingerprint).or_default().on_trial = false;
+            self.crashes.0.entry(fingerprint).or_default().running_alone = false;
             self.engines[engine].exclusive = None;
-            return self.end(call, Outcome::Refused(Reason::Late));
+            return self.end(call, Outcome::Refused(Reason::DeadlineUnreachable));
         }
         if self.engines[engine].works() && self.engines[engine].is_idle() {
             self.start(call, engine);
--- a/crates/policy/src/model/pool/serve.rs
+++ b/crates/policy/src/model/pool/serve.rs
@@ -1,12 +1,12 @@
 //! The way of one call: chosen, admitted, queued, started, read, written.
 
 use super::{Call, Event, Pool, model};
-use crate::admission::{Ask, Reason, Result, View};
+use crate::admission::{Reason, Request, Result, TargetState};
 use crate::estimate::{Cost, Rates};
 use crate::model::engine::{CallIndex, Done, Engine};
 use crate::model::figures::Outcome;
 use crate::number::{count, float, span};
-use crate::outlier::{Sample, Verdict};
+use crate::outlier::{Sample, Status};
 use crate::quarantine;
 use crate::queue::{self, Item, Pushed};
 use crate::route::{Load, Query, Stage};
@@ -93,8 +93,8 @@
         let entry = &mut self.entries[arrival.entry];
         for (index, candidate) in entry.candidates.iter_mut().enumerate() {
             let engine = &self.engines[index];
-            let verdict = entry.outliers.verdict(&candidate.name, now);
-            let relieved = self.setup.outliers && verdict == Verdict::Relieved;
+            let verdict = entry.outliers.status(&candidate.name, now);
+            let relieved = self.setup.outliers && verdict == Status::Ejected;
             candidate.usable = engine.works() && engine.exclusive.is_none() && !relieved;
             candidate.role = engine.role;
         }
@@ -107,11 +107,11 @@
         let many = if self.setup.late { 2 } else { 1 };
         let chosen: Vec<usize> = choice.indexes().take(many).collect();
         for &index in &chosen {
-            entry.candidates[index].send(cost);
+            entry.candidates[index].record_sent(cost);
             let name = entry.candidates[index].name.clone();
             entry.budget.earn(&caller, &name, now);
-            if entry.outliers.verdict(&name, now) == Verdict::Probe {
-                entry.outliers.probing(&name, now);
+            if entry.outliers.status(&name, now) == Status::Probe {
+                entry.outliers.probe_sent(&name, now);
             }
         }
         chosen
@@ -131,11 +131,11 @@
         let displaced = match pushed {
             Pushed::Queued => Vec::new(),
             Pushed::Displaced(items) => items,
-            Pushed::Full(_) => return Err(self.admission.refuse(Reason::Full, span(0.0))),
+            Pushed::Full(_) => return Err(self.admission.refuse(Reason::QueueFull, span(0.0))),
         };
         self.calls[call].places.push(engine);
         for item in displaced {
-            self.leave(item.value, engine, Reason::Full);
+            self.leave(item.value, engine, Reason::QueueFull);
         }
         Ok(())
     }
@@ -145,12 +145,12 @@
         let cost = self.calls[call].cost;
         let deadline = Some(span(arrival.at + arrival.deadline));
         let view = self.view(call, engine);
-        self.admission.decide(&Ask { cost, deadline }, &view, self.time()).map(|_| ())
+        self.admission.decide(&Request { cost, deadline }, &view, self.time()).map(|_| ())
     }
 
     /// What a call would wait behind at an engine. Before a prefill engine that is also the output
     /// that its prompts will need elsewhere, which holds them back.
-    fn view(&self, call: CallIndex, index: usize) -> View {
+    fn view(&self, call: CallIndex, index: usize) -> TargetState {
         let arrival = &self.plan.arrivals[call];
         let engine = &self.engines[index];
         let ahead = engine.queue.ahead(&arrival.caller, arrival.urgent);
@@ -161,7 +161,7 @@
             let readers = u64::try_from(readers.count()).unwrap_or(1).max(1);
             rates.decode = self.writing_rate() / float(readers);
         }
-        View { ahead: ahead + reading, rates, accepting: engine.works() }
+        TargetState { ahead: ahead + reading, rates, accepting: engine.works() }
     }
 
     /// Output tokens a second of all engines that write.
@@ -174,7 +174,8 @@
     fn has_room(&self) -> bool {
         let begun = self.engines.iter().map(|engine| engine.queue.backlog().begun);
         let begun = begun.fold(Cost::default(), |sum, cost| sum + cost);
-        self.admission.has_room(begun, &Rates { decode: self.writing_rate(), ..Rates::default() })
+        self.admission
+            .may_start_prefill(begun, &Rates { decode: self.writing_rate(), ..Rates::default() })
     }
 
     fn push(&mut self, call: CallIndex, engine: usize) -> Pushed<CallIndex> {
@@ -224,7 +225,7 @@
     fn start_all(&mut self, engine: usize) {
         let now = self.time();
         for item in self.engines[engine].queue.expire(now) {
-            self.leave(item.value, engine, Reason::Late);
+            self.leave(item.value, engine, Reason::DeadlineUnreachable);
         }
         while self.may_start(engine) {
             let Some(item) = self.engines[engine].queue.pop(now) else { break };
@@ -314,7 +315,9 @@
             match self.push(call, engine) {
                 Pushed::Queued => {}
                 Pushed::Displaced(items) => {
-                    items.into_iter().for_each(|item| self.leave(item.value, engine, Reason::Full));
+                    items
+                        .into_iter()
+                        .for_each(|item| self.leave(item.value, engine, Reason::QueueFull));
                 }
                 Pushed::Full(_) => continue,
             }
@@ -370,7 +373,7 @@
             slots: super::super::engine::SLOTS,
             rates: source.rates(),
         };
-        self.entries[entry].candidates[engine].hear(load, now);
+        self.entries[entry].candidates[engine].update_load(load, now);
     }
 
     /// Compares the time that a call took with what it takes a usual engine.
@@ -382,7 +385,7 @@
         let expected = read + written * f64::from(super::super::engine::SLOTS) / usual.decode;
         let pace = (self.now - self.calls[call].started) / expected.max(1e-3);
         if !self.calls[call].handed_over {
-            self.sample(call, engine, Sample::Done { pace });
+            self.sample(call, engine, Sample::Completed { seconds_per_unit: pace });
         }
     }
 
--- a/crates/policy/src/model/setup.rs
+++ b/crates/policy/src/model/setup.rs
@@ -3,7 +3,7 @@
 use super::engine::{CallIndex, EngineSetup, MIXED_EFFICIENCY, SLOTS};
 use crate::limits::Limit;
 use crate::queue::{self, Discipline, Fifo, Queue};
-use crate::roles::{self, Planner, Roles, Static};
+use crate::roles::{self, Planner, RolePlanner, StaticRoles};
 use crate::route::{LeastConnections, RoundRobin, Route, Weighted};
 use conf::resource::Role;
 
@@ -43,7 +43,7 @@
             name: "lapismast",
             route: || Box::new(Weighted::default()),
             queue: || Box::new(Queue::new(queue::Settings { slots: SLOTS, ..Default::default() })),
-            planner: |settings| Box::new(Roles::new(settings)),
+            planner: |settings| Box::new(RolePlanner::new(settings)),
             roles: roles::Settings::default(),
             admission: true,
             late: true,
@@ -57,7 +57,7 @@
 
     /// All but changes of roles.
     pub fn static_roles() -> Self {
-        Self { name: "lapismast, static roles", planner: |_| Box::new(Static), ..Self::all() }
+        Self { name: "lapismast, static roles", planner: |_| Box::new(StaticRoles), ..Self::all() }
     }
 
     /// All, but long and short requests in one class.
@@ -89,7 +89,7 @@
             name: "round robin",
             route: || Box::new(RoundRobin::default()),
             queue: || Box::new(Fifo::new(SLOTS)),
-            planner: |_| Box::new(Static),
+            planner: |_| Box::new(StaticRoles),
             admission: false,
             late: false,
             outliers: false,
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -52,9 +52,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sample {
     /// It ended, at this many seconds per unit of work; or for its part so far.
-    Done {
+    Completed {
         /// Seconds for each unit, such as the time between tokens.
-        pace: f64,
+        seconds_per_unit: f64,
     },
     /// The target failed. Refusals for want of room are no failures.
     Failed,
@@ -62,13 +62,13 @@
 
 /// What a target may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Status {
     /// Work like its peers.
     Normal,
-    /// One request, to see whether it has recovered; [`Outliers::probing`] books it.
+    /// One request, to see whether it has recovered; [`OutlierDetector::probe_sent`] books it.
     Probe,
     /// No work.
-    Relieved,
+    Ejected,
 }
 
 #[derive(Debug, Default)]
@@ -89,12 +89,12 @@
 
 /// Compares targets with their peers.
 #[derive(Debug, Default)]
-pub struct Outliers {
+pub struct OutlierDetector {
     settings: Settings,
     records: HashMap<TargetId, Record>,
 }
 
-impl Outliers {
+impl OutlierDetector {
     /// Makes a comparison without samples.
     pub fn new(settings: Settings) -> Self {
         Self { settings, records: HashMap::new() }
@@ -124,16 +124,16 @@
     }
 
     /// What the target may get now.
-    pub fn verdict(&self, target: &str, now: Time) -> Verdict {
+    pub fn status(&self, target: &str, now: Time) -> Status {
         match self.records.get(target).and_then(|record| record.relief) {
-            None => Verdict::Normal,
-            Some(relief) if now >= relief.next_probe => Verdict::Probe,
-            Some(_) => Verdict::Relieved,
+            None => Status::Normal,
+            Some(relief) if now >= relief.next_probe => Status::Probe,
+            Some(_) => Status::Ejected,
         }
     }
 
     /// Books that a probe is sent: no other goes out before the next interval.
-    pub fn probing(&mut self, target: &str, now: Time) {
+    pub fn probe_sent(&mut self, target: &str, now: Time) {
         let most = self.settings.most_probe;
         let record = self.records.get_mut(target);
         if let Some(relief) = record.and_then(|record| record.relief.as_mut()) {
@@ -149,13 +149,13 @@
     }
 
     /// How many targets are relieved.
-    pub fn relieved(&self) -> usize {
+    pub fn ejected(&self) -> usize {
         self.records.values().filter(|record| record.relief.is_some()).count()
     }
 
     fn is_crowded(&self) -> bool {
         let count = |n: usize| float(u64::try_from(n).unwrap_or(u64::MAX));
-        count(self.relieved() + 1) > count(self.records.len()) * self.settings.relieved_share
+        count(self.ejected() + 1) > count(self.records.len()) * self.settings.relieved_share
     }
 
     /// The median pace of the other targets that work, if there are any.
@@ -173,7 +173,7 @@
 impl Record {
     fn add(&mut self, sample: Sample, smoothing: f64) {
         let failed = match sample {
-            Sample::Done { pace } => {
+            Sample::Completed { seconds_per_unit: pace } => {
                 self.paced = self.paced.saturating_add(1);
                 let weight = smoothing.max(1.0 / f64::from(self.paced));
                 self.pace += (pace - self.pace) * weight;
@@ -204,7 +204,7 @@
         now: Time,
     ) {
         let good = match sample {
-            Sample::Done { pace } => {
+            Sample::Completed { seconds_per_unit: pace } => {
                 median.is_none_or(|median| pace <= median * settings.slow_factor)
             }
             Sample::Failed => false,
--- a/crates/policy/src/pacing.rs
+++ b/crates/policy/src/pacing.rs
@@ -4,7 +4,7 @@
 //! it is in need; up to hundreds of entries send to it, with unequal demand. **Without it** each entry goes
 //! on as before, or keeps to the whole limit by itself, and the target gets several times what it can
 //! bear. **How.** Whoever coordinates the target gives a permit for each request, from one [`Pacer`]. Who
-//! stands by gives [`STANDBY_PART`] of that, or [`ALONE_PART`] if it doesn't hear the first either, and without an answer there is no
+//! stands by gives [`STANDBY_SHARE`] of that, or [`ISOLATED_STANDBY_SHARE`] if it doesn't hear the first either, and without an answer there is no
 //! permit, so that entries that are killed, frozen or cut off never make the sum exceed what is allowed.
 
 use crate::{Hash, Time};
@@ -16,7 +16,7 @@
 
 /// The limit that a target named last, in spite of answers that overtake one another.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Limit {
+pub struct RateLimit {
     rate: Option<Rate>,
     /// When the newest answer came that named this limit.
     heard: Time,
@@ -24,19 +24,19 @@
     sent: Time,
 }
 
-impl Limit {
+impl RateLimit {
     /// The limit, if there is one.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
     /// When it was last heard of.
-    pub fn heard(&self) -> Time {
+    pub fn received_at(&self) -> Time {
         self.heard
     }
 
     /// When the newest request was sent that was answered with it.
-    pub fn sent(&self) -> Time {
+    pub fn sent_at(&self) -> Time {
         self.sent
     }
 
@@ -45,7 +45,7 @@
     ///
     /// A lower limit counts at once. A higher one, or none, counts only in the answer to a request that
     /// was sent after the limit was last heard of: any other may be older than that.
-    pub fn hear(&mut self, named: Option<Rate>, sent: Time, now: Time) -> bool {
+    pub fn observe(&mut self, named: Option<Rate>, sent: Time, now: Time) -> bool {
         if (named, self.rate) == (None, None) {
             return false;
         }
@@ -66,10 +66,10 @@
 
 /// The part of a limit that is given out by who stands by for a coordinator. Both may be asked at the same
 /// time, by entries that reach different ones of them.
-pub const STANDBY_PART: f64 = 0.3;
+pub const STANDBY_SHARE: f64 = 0.3;
 
 /// The same where who stands by doesn't hear the coordinator either: then it is gone, most likely.
-pub const ALONE_PART: f64 = 0.8;
+pub const ISOLATED_STANDBY_SHARE: f64 = 0.8;
 
 /// Requests that a target gets in a second whatever it names, so that the end of its need is heard of.
 const LEAST_RATE: Rate = 0.5;
@@ -97,7 +97,7 @@
 const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
 /// How urgent a request is: 0 goes first.
-pub type Rank = u8;
+pub type Priority = u8;
 
 /// Gives out permits for requests to one target.
 #[derive(Debug, Clone)]
@@ -106,7 +106,7 @@
     permits: f64,
     at: Time,
     /// The lowest rank seen lately, and when.
-    urgent: Option<(Rank, Time)>,
+    urgent: Option<(Priority, Time)>,
     /// When a request that is less urgent was last refused.
     refused: Option<Time>,
     in_a_row: u32,
@@ -118,11 +118,11 @@
 
 /// Who asks for a permit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ask {
+pub struct Requester {
     /// The entry.
     pub entry: Hash,
     /// How urgent the request is.
-    pub rank: Rank,
+    pub priority: Priority,
 }
 
 impl Pacer {
@@ -148,20 +148,20 @@
     }
 
     /// Gives a permit, or says after how long to ask again.
-    pub fn take(&mut self, ask: Ask, now: Time) -> Result<(), Duration> {
-        self.note_rank(ask.rank, now);
-        if let Err(wait) = self.look(ask.rank, now) {
+    pub fn acquire(&mut self, ask: Requester, now: Time) -> Result<(), Duration> {
+        self.note_rank(ask.priority, now);
+        if let Err(wait) = self.check(ask.priority, now) {
             self.note_refusal(ask, now);
             return Err(wait.max(self.pause()).min(LONGEST_WAIT));
         }
         self.permits -= 1.0;
-        self.in_a_row = if self.is_urgent(ask.rank, now) { self.in_a_row + 1 } else { 0 };
+        self.in_a_row = if self.is_urgent(ask.priority, now) { self.in_a_row + 1 } else { 0 };
         self.waiting.remove(&ask.entry);
         Ok(())
     }
 
     /// Whether there is a permit, or how long until there is.
-    pub fn look(&mut self, rank: Rank, now: Time) -> Result<(), Duration> {
+    pub fn check(&mut self, rank: Priority, now: Time) -> Result<(), Duration> {
         self.advance(now);
         let missing = self.needed(rank, now) - self.permits;
         if missing <= 0.0 {
@@ -172,7 +172,7 @@
     }
 
     /// Permits that have to be there for a request to get one.
-    fn needed(&self, rank: Rank, now: Time) -> f64 {
+    fn needed(&self, rank: Priority, now: Time) -> f64 {
         let others_turn = self.in_a_row >= URGENT_IN_A_ROW && is_recent(self.refused, now);
         if self.is_urgent(rank, now) == others_turn {
             1.0 + (self.most() - 1.0) * KEPT_FOR_URGENT
@@ -181,21 +181,21 @@
         }
     }
 
-    fn is_urgent(&self, rank: Rank, now: Time) -> bool {
+    fn is_urgent(&self, rank: Priority, now: Time) -> bool {
         match self.urgent {
             Some((lowest, seen)) if is_recent(Some(seen), now) => rank <= lowest,
             Some(_) | None => true,
         }
     }
 
-    fn note_rank(&mut self, rank: Rank, now: Time) {
+    fn note_rank(&mut self, rank: Priority, now: Time) {
         if self.is_urgent(rank, now) {
             self.urgent = Some((rank, now));
         }
     }
 
-    fn note_refusal(&mut self, ask: Ask, now: Time) {
-        if !self.is_urgent(ask.rank, now) {
+    fn note_refusal(&mut self, ask: Requester, now: Time) {
+        if !self.is_urgent(ask.priority, now) {
             self.refused = Some(now);
         }
         if now.saturating_sub(self.swept) >= RECENT {
--- a/crates/policy/src/prompts.rs
+++ b/crates/policy/src/prefill.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Tokens that an engine reads in a second, before it has been measured.
-    pub rate: f64,
+    pub prefill_rate: f64,
     /// The time that reading has to leave of the objective: for the way there, for what other
     /// entries send at the same time, and for the first step of the output. It is the same where
     /// objectives are 150 ms and where they are 500: half of the objective, which left 75 ms of the
@@ -30,7 +30,7 @@
     pub least_share: f64,
     /// The part of this time for a prompt whose objective has passed, because its caller was refused
     /// and came back. Under overload each of these takes the place of one that can still be in time.
-    pub late_part: f64,
+    pub late_fraction: f64,
     /// The share of the time they have left after which refused callers come back at the latest.
     pub honoured: f64,
     /// A prompt with no more tokens to read is short: it takes 3 ms.
@@ -42,44 +42,44 @@
     pub writer_filled: f64,
     /// It also does when they fill more, if reading takes no longer than this: its streams pause for so
     /// long in all, and go on between the pieces of the prompt.
-    pub writer_pause: Duration,
+    pub decode_pause: Duration,
     /// A start is copied if that saves reading so many tokens. Copying a token takes a tenth of
     /// reading it, and setting a copy up as long as reading some hundred.
-    pub least_copy: u64,
+    pub min_copy_tokens: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            rate: 300_000.0,
+            prefill_rate: 300_000.0,
             reserve: Duration::from_millis(75),
             least_share: 0.3,
-            late_part: 0.6,
+            late_fraction: 0.6,
             honoured: 1.0 / 3.0,
             short: 1_000,
             writer_share: 0.5,
             writer_filled: 0.125,
-            writer_pause: Duration::ZERO,
-            least_copy: 512,
+            decode_pause: Duration::ZERO,
+            min_copy_tokens: 512,
         }
     }
 }
 
 /// An engine that could read a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Reader {
+pub struct PrefillCandidate {
     /// The hash of its name.
     pub key: Hash,
     /// Whether it also writes output, and so reads at a lower rate.
-    pub writes: bool,
+    pub decodes: bool,
     /// Tokens that wait to be read there, as far as this entry knows.
-    pub waiting: u64,
+    pub queued_tokens: u64,
     /// Tokens at the prompt's start that it keeps.
-    pub kept: u64,
+    pub cached_tokens: u64,
     /// The share of its slots that streams fill.
-    pub filled: f64,
+    pub slot_usage: f64,
     /// How much longer than usual it takes to hand KV cache over.
-    pub handover: Duration,
+    pub transfer_excess: Duration,
     /// The hash of its failure domain: copies within one take half as long.
     pub domain: Hash,
 }
@@ -88,7 +88,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prompt {
     /// The hash of its longest shared start; prompts with equal ones have the same home.
-    pub start: Hash,
+    pub prefix_hash: Hash,
     /// All its tokens.
     pub tokens: u64,
     /// Within which time its first token is wanted.
@@ -99,9 +99,9 @@
 
 /// Where a prompt goes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Place {
+pub enum Placement {
     /// It is read by the engine with this index.
-    Read {
+    Prefill {
         /// The engine.
         at: usize,
         /// The engine from which it first copies the shared start.
@@ -118,7 +118,7 @@
 ///
 /// Short ones go before all others, whatever their rank: they take less than 3 ms, and behind the
 /// queue of the long ones they would miss their objective.
-pub fn urgency(settings: &Settings, tokens: u64, rank: u8) -> u8 {
+pub fn priority(settings: &Settings, tokens: u64, rank: u8) -> u8 {
     if tokens <= settings.short { 0 } else { rank.saturating_add(1).min(LEAST_URGENT) }
 }
 
@@ -129,9 +129,9 @@
 pub fn place(
     settings: &Settings,
     prompt: &Prompt,
-    readers: &[Reader],
+    readers: &[PrefillCandidate],
     unheard: impl Into<f64>,
-) -> Place {
+) -> Placement {
     place_among(settings, prompt, readers, readers.len(), unheard)
 }
 
@@ -139,64 +139,73 @@
 pub fn place_among(
     settings: &Settings,
     prompt: &Prompt,
-    readers: &[Reader],
+    readers: &[PrefillCandidate],
     able: usize,
     unheard: impl Into<f64>,
-) -> Place {
+) -> Placement {
     let order = order(prompt, &readers[..able.min(readers.len())]);
     if order.is_empty() {
-        return Place::Full(prompt.objective);
+        return Placement::Full(prompt.objective);
     }
-    let most = most(settings, prompt).as_secs_f64() / unheard.into().max(1.0);
+    let most = max_duration(settings, prompt).as_secs_f64() / unheard.into().max(1.0);
     // Few engines keep any of a prompt; asked for each of 700 readers, all would take a millisecond.
-    let holders: Vec<usize> = (0..readers.len()).filter(|&at| readers[at].kept > 0).collect();
+    let holders: Vec<usize> =
+        (0..readers.len()).filter(|&at| readers[at].cached_tokens > 0).collect();
     let mut soonest = f64::INFINITY;
     for at in order {
         let reader = &readers[at];
         let copy_from = source(settings, readers, &holders, at);
-        let kept = copy_from.map_or(reader.kept, |from| readers[from].kept);
+        let kept = copy_from.map_or(reader.cached_tokens, |from| readers[from].cached_tokens);
         let tokens = unread(prompt, kept);
         if fits(settings, reader, tokens, most) {
-            return Place::Read { at, copy_from, tokens };
+            return Placement::Prefill { at, copy_from, tokens };
         }
         soonest = soonest.min(wait(settings, reader, 0));
     }
-    Place::Full(span((soonest - most).max(most)))
+    Placement::Full(span((soonest - most).max(most)))
 }
 
 /// How long reading may take, what waits before it included.
-pub fn most(settings: &Settings, prompt: &Prompt) -> Duration {
+pub fn max_duration(settings: &Settings, prompt: &Prompt) -> Duration {
     let left = prompt.objective.saturating_sub(settings.reserve);
     let most = left.max(prompt.objective.mul_f64(settings.least_share));
-    if prompt.late { most.mul_f64(settings.late_part) } else { most }
+    if prompt.late { most.mul_f64(settings.late_fraction) } else { most }
 }
 
 /// The readers in the order in which they are tried: by rendezvous hashing, those that only read
 /// first. All entries have the same order for prompts with the same start and other orders for
 /// other prompts: if each took the reader with the least to read, all would take the same one until
 /// they heard of each other.
-fn order(prompt: &Prompt, readers: &[Reader]) -> Vec<usize> {
+fn order(prompt: &Prompt, readers: &[PrefillCandidate]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..readers.len()).collect();
-    order.sort_by_key(|&at| (readers[at].writes, Reverse(mix(readers[at].key, prompt.start))));
+    order.sort_by_key(|&at| {
+        (readers[at].decodes, Reverse(mix(readers[at].key, prompt.prefix_hash)))
+    });
     order
 }
 
 /// The engine from which the one at `to` copies the prompt's start: of the holders the one that keeps
 /// most, if that is enough more. Of several, one in the same failure domain.
-fn source(settings: &Settings, engines: &[Reader], holders: &[usize], to: usize) -> Option<usize> {
+fn source(
+    settings: &Settings,
+    engines: &[PrefillCandidate],
+    holders: &[usize],
+    to: usize,
+) -> Option<usize> {
     let reader = &engines[to];
     let others = holders.iter().copied();
     let others = others.filter(|&from| from != to && copies_pay(settings, reader, &engines[from]));
     others.max_by_key(|&from| {
         let engine = &engines[from];
-        (engine.kept, engine.domain == reader.domain, mix(engine.key, reader.key))
+        (engine.cached_tokens, engine.domain == reader.domain, mix(engine.key, reader.key))
     })
 }
 
 /// Whether copying is worth it: it saves enough reading, also if the holder's link is slow.
-fn copies_pay(settings: &Settings, to: &Reader, from: &Reader) -> bool {
-    let saved = from.kept.saturating_sub(to.kept);
-    saved >= settings.least_copy && float(saved) / settings.rate > from.handover.as_secs_f64()
+fn copies_pay(settings: &Settings, to: &PrefillCandidate, from: &PrefillCandidate) -> bool {
+    let saved = from.cached_tokens.saturating_sub(to.cached_tokens);
+    saved >= settings.min_copy_tokens
+        && float(saved) / settings.prefill_rate > from.transfer_excess.as_secs_f64()
 }
 
 fn unread(prompt: &Prompt, kept: u64) -> u64 {
@@ -204,19 +213,21 @@
 }
 
 /// The seconds until a reader has read what waits there and `tokens` more and handed it over.
-fn wait(settings: &Settings, reader: &Reader, tokens: u64) -> f64 {
-    let part = if reader.writes { settings.writer_share } else { 1.0 };
-    float(reader.waiting + tokens) / (settings.rate * part) + reader.handover.as_secs_f64()
+fn wait(settings: &Settings, reader: &PrefillCandidate, tokens: u64) -> f64 {
+    let part = if reader.decodes { settings.writer_share } else { 1.0 };
+    float(reader.queued_tokens + tokens) / (settings.prefill_rate * part)
+        + reader.transfer_excess.as_secs_f64()
 }
 
-fn fits(settings: &Settings, reader: &Reader, tokens: u64, most: f64) -> bool {
-    let idle = reader.waiting == 0 && reader.handover.as_secs_f64() < most;
-    if reader.writes {
+fn fits(settings: &Settings, reader: &PrefillCandidate, tokens: u64, most: f64) -> bool {
+    let idle = reader.queued_tokens == 0 && reader.transfer_excess.as_secs_f64() < most;
+    if reader.decodes {
         // Each step of its output waits for a piece of what it reads, and the first token of what is
         // handed over to it for all: it takes only what fits, while it reads nothing else.
         let takes = wait(settings, reader, tokens);
-        let few = reader.filled <= settings.writer_filled;
-        let short = reader.filled <= MOST_FILLED && takes <= settings.writer_pause.as_secs_f64();
+        let few = reader.slot_usage <= settings.writer_filled;
+        let short =
+            reader.slot_usage <= MOST_FILLED && takes <= settings.decode_pause.as_secs_f64();
         return idle && (few || short) && takes <= most;
     }
     // An idle reader takes a prompt of any size: nothing is gained by leaving it idle.
@@ -237,7 +248,12 @@
 /// come back once. **Without it** they come back after the time of one queue, in the middle of the
 /// same burst, and are refused for good. **How.** Their objective has passed by then in any case,
 /// so they come back late, spread over the second half of the time that they honour.
-pub fn come_back(settings: &Settings, soonest: Duration, left: Duration, random: f64) -> Duration {
+pub fn retry_after(
+    settings: &Settings,
+    soonest: Duration,
+    left: Duration,
+    random: f64,
+) -> Duration {
     let most = left.mul_f64(settings.honoured).min(MOST_BACK);
     soonest.max(most.mul_f64(0.5 + 0.5 * random)).min(most)
 }
@@ -249,7 +265,7 @@
 /// are large, and shrink when a sample goes the other way: a first belief that is wrong by five is
 /// right after some ten prompts, and then none moves it by much.
 #[derive(Debug, Clone, Copy)]
-pub struct Rate {
+pub struct PrefillRate {
     rate: f64,
     step: f64,
     /// Whether the last sample was faster; none before the first.
@@ -278,14 +294,14 @@
 /// The bounds of a believable rate, in tokens a second.
 const BOUNDS: (f64, f64) = (10_000.0, 3_000_000.0);
 
-impl Rate {
+impl PrefillRate {
     /// Begins with an assumed rate, in tokens a second.
     pub fn new(assumed: f64) -> Self {
         Self { rate: assumed, step: FIRST_STEP.ln(), faster: None, samples: 0 }
     }
 
     /// Begins with a rate that others have learnt.
-    pub fn known(rate: f64) -> Self {
+    pub fn learned(rate: f64) -> Self {
         Self { step: LEAST_STEP.ln(), samples: KNOWN, ..Self::new(rate) }
     }
 
@@ -310,7 +326,7 @@
     }
 
     /// Whether it was learnt from enough prompts to rely on it.
-    pub fn is_known(self) -> bool {
+    pub fn is_learned(self) -> bool {
         self.samples >= KNOWN
     }
 }
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -11,19 +11,19 @@
 
 /// What the log holds about one request, by its fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct History {
+pub struct CrashHistory {
     /// Crashes, by distinct target and incarnation, while it ran, since it was last cleared.
     pub crashes: u32,
     /// Those of them at which it ran alone.
     pub alone: u32,
     /// Whether it is running alone somewhere now, as far as is known.
-    pub on_trial: bool,
+    pub running_alone: bool,
 }
 
 /// A view of the records of crashes.
-pub trait Records {
+pub trait CrashRecords {
     /// What is known of the request with this fingerprint.
-    fn history(&self, fingerprint: u64) -> History;
+    fn history(&self, fingerprint: u64) -> CrashHistory;
 }
 
 /// How a request may run.
@@ -66,13 +66,13 @@
     }
 
     /// Says how the request with this fingerprint may run.
-    pub fn decide(&self, records: &dyn Records, fingerprint: u64) -> Verdict {
+    pub fn decide(&self, records: &dyn CrashRecords, fingerprint: u64) -> Verdict {
         let history = records.history(fingerprint);
         if history.alone > 0 || history.crashes >= self.settings.crashes {
             Verdict::Refuse
         } else if history.crashes == 0 {
             Verdict::Normal
-        } else if history.on_trial {
+        } else if history.running_alone {
             Verdict::Wait
         } else {
             Verdict::Alone
--- a/crates/policy/src/reach.rs
+++ b/crates/policy/src/reachability.rs
@@ -19,7 +19,7 @@
 
 /// Whether one target can be reached.
 #[derive(Debug, Clone, Default)]
-pub struct Reach {
+pub struct Reachability {
     outstanding: u32,
     /// Since when it has had work without a word.
     quiet: Option<Time>,
@@ -33,15 +33,15 @@
     probing: bool,
 }
 
-impl Reach {
+impl Reachability {
     /// Notes a request that is sent there.
-    pub fn enter(&mut self, now: Time) {
+    pub fn request_started(&mut self, now: Time) {
         self.outstanding += 1;
         self.quiet.get_or_insert(now);
     }
 
     /// Notes that a request there has ended, however it did.
-    pub fn leave(&mut self) {
+    pub fn request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if self.outstanding == 0 {
             self.quiet = None;
@@ -54,13 +54,13 @@
     }
 
     /// Notes that it said something.
-    pub fn heard(&mut self, now: Time) {
+    pub fn response_received(&mut self, now: Time) {
         self.quiet = (self.outstanding > 0).then_some(now);
         self.pause = None;
     }
 
     /// Notes that it could not be reached.
-    pub fn unreachable(&mut self, now: Time) {
+    pub fn connection_failed(&mut self, now: Time) {
         let length = match self.pause {
             // Several attempts that end together are one piece of news.
             Some(pause) if !pause.probing => return,
@@ -71,7 +71,7 @@
     }
 
     /// Whether it could not be reached, and no probe has reached it since.
-    pub fn is_paused(&self) -> bool {
+    pub fn is_backing_off(&self) -> bool {
         self.pause.is_some()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Whether it is time for a probe; the caller sends one and tells of it by
-    /// [`Reach::heard`] or [`Reach::unreachable`].
+    /// [`Reachability::response_received`] or [`Reachability::connection_failed`].
     #[must_use]
     pub fn begin_probe(&mut self, now: Time) -> bool {
         let Some(pause) = self.pause.as_mut().filter(|pause| !pause.probing && now >= pause.until)
@@ -93,7 +93,7 @@
     }
 
     /// Whether it has had work for longer than `patience` without a word.
-    pub fn is_silent(&self, patience: Duration, now: Time) -> bool {
+    pub fn is_unresponsive(&self, patience: Duration, now: Time) -> bool {
         self.quiet.is_some_and(|since| now.saturating_sub(since) > patience)
     }
 }
--- a/crates/policy/src/bookings.rs
+++ b/crates/policy/src/reservations.rs
@@ -14,34 +14,34 @@
 const LAPSE: Duration = Duration::from_millis(1_500);
 
 /// The name of a booking, given by the entry that asked for it.
-pub type BookingId = u64;
+pub type ReservationId = u64;
 
 /// What is booked at one engine.
 #[derive(Debug, Clone, Default)]
-pub struct Bookings {
+pub struct Reservations {
     booked: Vec<Booking>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Booking {
-    id: BookingId,
+    id: ReservationId,
     amount: u64,
     lapses: Time,
 }
 
-impl Bookings {
+impl Reservations {
     /// Books a prompt of which `tokens` are to be read.
-    pub fn book(&mut self, id: BookingId, tokens: u64, now: Time) {
-        self.book_for(id, tokens, now, LAPSE);
+    pub fn reserve(&mut self, id: ReservationId, tokens: u64, now: Time) {
+        self.reserve_for(id, tokens, now, LAPSE);
     }
 
     /// Books this much for so long at most.
-    pub fn book_for(&mut self, id: BookingId, amount: u64, now: Time, span: Duration) {
+    pub fn reserve_for(&mut self, id: ReservationId, amount: u64, now: Time, span: Duration) {
         self.booked.push(Booking { id, amount, lapses: now + span });
     }
 
     /// Ends a booking; `false` if there is none of this name.
-    pub fn end(&mut self, id: BookingId) -> bool {
+    pub fn release(&mut self, id: ReservationId) -> bool {
         let Some(at) = self.booked.iter().position(|booking| booking.id == id) else {
             return false;
         };
@@ -50,7 +50,7 @@
     }
 
     /// How much is booked.
-    pub fn waiting(&mut self, now: Time) -> u64 {
+    pub fn total(&mut self, now: Time) -> u64 {
         self.booked.retain(|booking| now < booking.lapses);
         self.booked.iter().map(|booking| booking.amount).sum()
     }
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/retry_detection.rs
@@ -23,7 +23,7 @@
 
 /// What one route's callers give.
 #[derive(Debug, Clone, Default)]
-pub struct Patience {
+pub struct RetryDetector {
     before: Span,
     now: Span,
 }
@@ -36,10 +36,10 @@
     longest: Duration,
 }
 
-impl Patience {
+impl RetryDetector {
     /// Takes in how long a caller waits from now on, and says whether it has probably waited longer
     /// than the objective allows.
-    pub fn has_waited(&mut self, left: Duration, objective: Duration) -> bool {
+    pub fn is_retry(&mut self, left: Duration, objective: Duration) -> bool {
         if self.now.requests >= SPAN {
             self.before = std::mem::take(&mut self.now);
         }
--- a/crates/policy/src/roles.rs
+++ b/crates/policy/src/roles.rs
@@ -12,7 +12,7 @@
 
 mod capacity;
 
-pub use capacity::{Demand, Fleet};
+pub use capacity::{Demand, PoolCapacity};
 
 use crate::estimate::Rates;
 use crate::number::float;
@@ -115,9 +115,9 @@
 
 /// Leaves all roles as they are, for comparison.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Static;
+pub struct StaticRoles;
 
-impl Planner for Static {
+impl Planner for StaticRoles {
     fn name(&self) -> &'static str {
         "static roles"
     }
@@ -131,21 +131,21 @@
 
 /// Changes roles when that wins more than it costs.
 #[derive(Debug)]
-pub struct Roles {
+pub struct RolePlanner {
     settings: Settings,
     fast: Demand,
     slow: Demand,
     observed: Option<Time>,
 }
 
-impl Roles {
+impl RolePlanner {
     /// Makes a planner that has seen no demand.
     pub fn new(settings: Settings) -> Self {
         Self { settings, fast: Demand::default(), slow: Demand::default(), observed: None }
     }
 
     /// Takes on changed settings and keeps the averages.
-    pub fn set(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
@@ -171,13 +171,13 @@
     }
 
     /// The work that a change wins over the horizon, less what is lost while it is under way.
-    fn win(&self, fleet: &Fleet, engine: &Engine, role: Role) -> f64 {
+    fn win(&self, fleet: &PoolCapacity, engine: &Engine, role: Role) -> f64 {
         let out = fleet.without(engine.role, engine.rates);
         let after = out.with(role, engine.rates);
-        if role == engine.role || !after.does_all() || !out.does_all() {
+        if role == engine.role || !after.covers_all_stages() || !out.covers_all_stages() {
             return 0.0;
         }
-        let goodput = |fleet: &Fleet| {
+        let goodput = |fleet: &PoolCapacity| {
             let at = |demand| fleet.goodput(demand, self.settings.mixing);
             at(&self.fast) * (1.0 - SLOW_WEIGHT) + at(&self.slow) * SLOW_WEIGHT
         };
@@ -192,9 +192,9 @@
         engine.usable && !engine.pinned && !engine.changing && dwelt
     }
 
-    fn fleet(&self, engines: &[Engine], ordered: &[Change]) -> Fleet {
+    fn fleet(&self, engines: &[Engine], ordered: &[Change]) -> PoolCapacity {
         let working = engines.iter().filter(|engine| engine.usable && !engine.changing);
-        working.fold(Fleet::default(), |fleet, engine| {
+        working.fold(PoolCapacity::default(), |fleet, engine| {
             let change = ordered.iter().find(|change| change.target == engine.name);
             fleet.with(change.map_or(engine.role, |change| change.role), engine.rates)
         })
@@ -208,7 +208,7 @@
     busy.into_iter().any(|other| other.domain == engine.domain)
 }
 
-impl Planner for Roles {
+impl Planner for RolePlanner {
     fn name(&self) -> &'static str {
         "planned roles"
     }
--- a/crates/policy/src/roles/capacity.rs
+++ b/crates/policy/src/roles/capacity.rs
@@ -32,7 +32,7 @@
 
 /// The engines of each role, and the sums of their rates.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Fleet {
+pub struct PoolCapacity {
     prefill: f64,
     decode: f64,
     mixed: Sum,
@@ -44,7 +44,7 @@
     decode: f64,
 }
 
-impl Fleet {
+impl PoolCapacity {
     /// The fleet with one more engine.
     pub fn with(self, role: Role, rates: Rates) -> Self {
         self.add(role, rates, 1.0)
@@ -68,7 +68,7 @@
     }
 
     /// Whether some engine does each stage of the work.
-    pub fn does_all(&self) -> bool {
+    pub fn covers_all_stages(&self) -> bool {
         let mixed = self.mixed.decode;
         self.prefill + mixed > 0.5 && self.decode + mixed > 0.5
     }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -55,11 +55,11 @@
     /// Its load.
     pub load: Load,
     /// When that load was true, if it ever was heard.
-    pub heard: Option<Time>,
+    pub reported_at: Option<Time>,
     /// What this entry sent there since, which the load doesn't hold yet.
     pub sent: Cost,
-    /// The wait that follows, in seconds; worked out by [`Candidate::hear`] and
-    /// [`Candidate::send`], since a decision looks at hundreds of candidates.
+    /// The wait that follows, in seconds; worked out by [`Candidate::update_load`] and
+    /// [`Candidate::record_sent`], since a decision looks at hundreds of candidates.
     wait: f64,
 }
 
@@ -74,22 +74,22 @@
             role: Role::Mixed,
             usable: true,
             load: Load::default(),
-            heard: None,
+            reported_at: None,
             sent: Cost::default(),
             wait: 0.0,
         }
     }
 
     /// Takes in the load that it told at `now`.
-    pub fn hear(&mut self, load: Load, now: Time) {
+    pub fn update_load(&mut self, load: Load, now: Time) {
         self.load = load;
-        self.heard = Some(now);
+        self.reported_at = Some(now);
         self.sent = Cost::default();
         self.wait = self.estimate();
     }
 
     /// Books work sent there.
-    pub fn send(&mut self, cost: Cost) {
+    pub fn record_sent(&mut self, cost: Cost) {
         self.sent += cost;
         self.wait = self.estimate();
     }
@@ -114,7 +114,7 @@
     }
 
     /// Whether it can do this query's stage of the work.
-    pub fn is_able(&self, query: &Query) -> bool {
+    pub fn can_serve(&self, query: &Query) -> bool {
         let stage = match (query.stage, self.role) {
             (_, Role::Mixed) | (Stage::Prefill, Role::Prefill) | (Stage::Decode, Role::Decode) => {
                 true
--- a/crates/policy/src/route/baseline.rs
+++ b/crates/policy/src/route/baseline.rs
@@ -63,7 +63,7 @@
     *turn = turn.wrapping_add(1);
     let begin = *turn % candidates.len().max(1);
     let indexes = (begin..candidates.len()).chain(0..begin);
-    indexes.filter(|&index| candidates[index].is_able(query))
+    indexes.filter(|&index| candidates[index].can_serve(query))
 }
 
 fn alone(first: usize) -> Choice {
--- a/crates/policy/src/route/weighted.rs
+++ b/crates/policy/src/route/weighted.rs
@@ -70,13 +70,13 @@
         self.homes = 0;
         let mut total = 0.0;
         for (index, candidate) in candidates.iter().enumerate() {
-            if !candidate.is_able(query) {
+            if !candidate.can_serve(query) {
                 continue;
             }
             let home = candidate.domain == query.domain;
             let wait = candidate.wait();
             total += wait;
-            let (key, heard, role) = (candidate.key, candidate.heard, candidate.role);
+            let (key, heard, role) = (candidate.key, candidate.reported_at, candidate.role);
             self.able.push(Able { index, key, wait, heard, home, role });
             if home {
                 let last = self.able.len() - 1;
--- a/crates/policy/src/signals.rs
+++ b/crates/policy/src/signals.rs
@@ -1,18 +1,18 @@
 //! What a target says of itself in the heads of its answers, and what follows for who sends to it.
 //!
-//! A new signal is a field of [`Signals`], kept by [`Standing`] and asked for in [`Standing::look`].
+//! A new signal is a field of [`Signals`], kept by [`SignalState`] and asked for in [`SignalState::check_open`].
 
 use crate::Time;
-use crate::pacing::{Limit, Rate};
+use crate::pacing::{Rate, RateLimit};
 use crate::pause::Pause;
 use std::time::Duration;
 
 /// One signal, as the head of an answer has it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum Said<T> {
+pub enum Signal<T> {
     /// The answer says nothing of it.
     #[default]
-    Nothing,
+    Absent,
     /// Its value.
     Value(T),
     /// A value that can't be read.
@@ -23,15 +23,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Signals {
     /// How many requests a second the target takes in from all entries together.
-    pub limit: Said<Rate>,
+    pub limit: Signal<Rate>,
     /// Whether it leaves.
-    pub leaving: Said<bool>,
+    pub leaving: Signal<bool>,
     /// For how long it wants no requests from this entry.
-    pub pause: Said<Duration>,
+    pub pause: Signal<Duration>,
 }
 
 /// The name of a signal in logs.
-pub type Name = &'static str;
+pub type SignalName = &'static str;
 
 /// What changed with an answer.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -50,7 +50,7 @@
     /// It takes requests again after a pause.
     Resumes,
     /// A signal can't be read; what was known stays in force.
-    Unreadable(Name),
+    Unreadable(SignalName),
 }
 
 /// Why a target gets no request now.
@@ -77,14 +77,14 @@
 
 /// What is known of one life of a target by its own answers.
 #[derive(Debug, Clone, Default)]
-pub struct Standing {
-    limit: Limit,
+pub struct SignalState {
+    limit: RateLimit,
     leaving: bool,
     pause: Pause,
-    unreadable: Vec<Name>,
+    unreadable: Vec<SignalName>,
 }
 
-impl Standing {
+impl SignalState {
     /// What is left of an earlier account of the same life, which may have wanted a pause until then.
     pub fn restored(leaving: bool, pause: Option<Time>) -> Self {
         let pause = pause.map(Pause::new).unwrap_or_default();
@@ -102,7 +102,7 @@
     }
 
     /// The limit on what it takes in.
-    pub fn limit(&self) -> Limit {
+    pub fn limit(&self) -> RateLimit {
         self.limit
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Whether it wants requests now.
-    pub fn look(&self, now: Time) -> Result<(), Closed> {
+    pub fn check_open(&self, now: Time) -> Result<(), Closed> {
         if self.leaving {
             return Err(Closed::Leaving);
         }
@@ -120,8 +120,8 @@
     }
 
     /// Counts a request that is sent, if the target wants any now.
-    pub fn take(&mut self, now: Time) -> Result<(), Closed> {
-        self.look(now)?;
+    pub fn acquire(&mut self, now: Time) -> Result<(), Closed> {
+        self.check_open(now)?;
         self.pause.take(now).map_err(|_| Closed::Paused)
     }
 
@@ -134,45 +134,45 @@
     }
 
     /// How long until it wants requests again after a pause, if it does not now.
-    pub fn paused_for(&self, now: Time) -> Option<Duration> {
+    pub fn pause_remaining(&self, now: Time) -> Option<Duration> {
         self.pause.look(now).err()
     }
 
-    fn observe_limit(&mut self, said: Said<Rate>, sent: Time, now: Time) -> Option<Change> {
+    fn observe_limit(&mut self, said: Signal<Rate>, sent: Time, now: Time) -> Option<Change> {
         let named = match said {
-            Said::Nothing => None,
-            Said::Value(rate) => Some(rate),
-            Said::Unreadable => return self.is_first_unreadable("limit"),
+            Signal::Absent => None,
+            Signal::Value(rate) => Some(rate),
+            Signal::Unreadable => return self.is_first_unreadable("limit"),
         };
         self.is_readable("limit");
-        self.limit.hear(named, sent, now).then_some(Change::Limit(named))
+        self.limit.observe(named, sent, now).then_some(Change::Limit(named))
     }
 
-    fn observe_leaving(&mut self, said: Said<bool>) -> Option<Change> {
+    fn observe_leaving(&mut self, said: Signal<bool>) -> Option<Change> {
         match said {
-            Said::Value(true) => {
+            Signal::Value(true) => {
                 let first = !std::mem::replace(&mut self.leaving, true);
                 first.then_some(Change::Leaves)
             }
             // No life of a target takes its leaving back.
-            Said::Value(false) | Said::Nothing => None,
-            Said::Unreadable => self.is_first_unreadable("leaving"),
+            Signal::Value(false) | Signal::Absent => None,
+            Signal::Unreadable => self.is_first_unreadable("leaving"),
         }
     }
 
-    fn observe_pause(&mut self, said: Said<Duration>, sent: Time, now: Time) -> Option<Change> {
+    fn observe_pause(&mut self, said: Signal<Duration>, sent: Time, now: Time) -> Option<Change> {
         match said {
-            Said::Value(span) => {
+            Signal::Value(span) => {
                 let is_new = !self.pause.lasts(now);
                 self.pause.begin(span, now).then_some(Change::Pauses { span, is_new })
             }
-            Said::Nothing => self.pause.answered(sent, now).then_some(Change::Resumes),
-            Said::Unreadable => self.is_first_unreadable("pause"),
+            Signal::Absent => self.pause.answered(sent, now).then_some(Change::Resumes),
+            Signal::Unreadable => self.is_first_unreadable("pause"),
         }
     }
 
     /// Notes that a signal can't be read, once until it can.
-    fn is_first_unreadable(&mut self, name: Name) -> Option<Change> {
+    fn is_first_unreadable(&mut self, name: SignalName) -> Option<Change> {
         if self.unreadable.contains(&name) {
             return None;
         }
@@ -180,7 +180,7 @@
         Some(Change::Unreadable(name))
     }
 
-    fn is_readable(&mut self, name: Name) {
+    fn is_readable(&mut self, name: SignalName) {
         self.unreadable.retain(|other| *other != name);
     }
 }
--- a/crates/policy/src/split.rs
+++ b/crates/policy/src/split.rs
@@ -11,14 +11,14 @@
 //! so moves little, and one that lasts minutes all. Enough engines write that the loss of one is borne.
 
 use crate::Hash;
-use crate::demand::{Need, Pace};
+use crate::demand::{EngineProfile, PeakLoad};
 use crate::number::{count, float};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// What part of a generation an engine does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum EngineRole {
     /// It reads prompts for others.
     Reads,
     /// It writes output, and reads some prompts itself.
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// A fixed share of engines that read, whatever the load.
-    pub fixed: Option<f64>,
+    pub fixed_share: Option<f64>,
     /// Tokens of prompts to be read for each token of output, until demand has been observed. It is
     /// no load's own mix, but between those of several.
     pub mix: f64,
@@ -47,7 +47,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            fixed: None,
+            fixed_share: None,
             mix: 20.0,
             settle: Duration::from_secs(240),
             slack: 1.0,
@@ -60,19 +60,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
     /// What it does now.
-    pub part: Part,
+    pub role: EngineRole,
     /// How much would be disturbed by changing it, such as its requests.
     pub work: u32,
     /// The hash of its failure domain.
     pub domain: Hash,
     /// Whether it can be reached.
-    pub present: bool,
+    pub available: bool,
 }
 
 /// What is assumed of an engine that writes `places` streams at once until it is known: it reads
 /// 300,000 tokens a second and makes a token of each stream a millisecond.
-pub fn assumed(places: u32) -> Pace {
-    Pace { reading: 300_000.0, step: 0.001, places }
+pub fn default_profile(places: u32) -> EngineProfile {
+    EngineProfile { prefill_rate: 300_000.0, token_time: 0.001, max_streams: places }
 }
 
 /// Streams that an engine is assumed to write at once at least, when others are compared with it.
@@ -87,13 +87,13 @@
 const OWN: f64 = 0.25;
 
 /// The share of engines that should read, for engines of this pace and this need.
-pub fn share(settings: &Settings, pace: &Pace, need: &Need) -> f64 {
-    if let Some(fixed) = settings.fixed {
+pub fn prefill_share(settings: &Settings, pace: &EngineProfile, need: &PeakLoad) -> f64 {
+    if let Some(fixed) = settings.fixed_share {
         return fixed;
     }
-    let guess = self::assumed(pace.places.max(USUAL_PLACES));
+    let guess = self::default_profile(pace.max_streams.max(USUAL_PLACES));
     let assumed = mean(usual(settings, pace), usual(settings, &guess), OWN);
-    let seen = need.readers / need.writers;
+    let seen = need.prefill / need.decode;
     let known = seen.is_finite() && seen > 0.0;
     let observed = if known { need.observed.as_secs_f64() } else { 0.0 };
     let weight = observed / (observed + settings.settle.as_secs_f64());
@@ -108,14 +108,14 @@
 }
 
 /// Engines that read for each one that writes, at the usual mix.
-fn usual(settings: &Settings, pace: &Pace) -> f64 {
-    let writing = f64::from(pace.places.max(1)) / pace.step;
-    settings.mix * writing / pace.reading
+fn usual(settings: &Settings, pace: &EngineProfile) -> f64 {
+    let writing = f64::from(pace.max_streams.max(1)) / pace.token_time;
+    settings.mix * writing / pace.prefill_rate
 }
 
 /// How many of `engines` engines should read if `share` of them should and `reading` do now: one at
 /// least, and not all. A single one has to do both, which only one that writes can.
-pub fn wanted(settings: &Settings, share: f64, engines: usize, reading: usize) -> usize {
+pub fn desired_prefill(settings: &Settings, share: f64, engines: usize, reading: usize) -> usize {
     let all = float(u64::try_from(engines).unwrap_or(u64::MAX));
     let exact = all * share;
     let now = float(u64::try_from(reading).unwrap_or(u64::MAX));
@@ -126,7 +126,7 @@
 }
 
 /// So many readers of `engines` engines as there may be.
-pub fn bounded(engines: usize, readers: usize) -> Option<usize> {
+pub fn clamp_prefill(engines: usize, readers: usize) -> Option<usize> {
     let most = engines.saturating_sub(spare(engines));
     (engines > 1).then(|| readers.clamp(1, most.max(1)))
 }
@@ -139,18 +139,18 @@
 }
 
 /// How many engines read.
-pub fn reading(engines: &[Engine]) -> usize {
-    engines.iter().filter(|engine| engine.part == Part::Reads).count()
+pub fn count_prefill(engines: &[Engine]) -> usize {
+    engines.iter().filter(|engine| engine.role == EngineRole::Reads).count()
 }
 
 /// A part that no engine does that can be reached, although others can be.
 ///
 /// All seem away to a process that was frozen itself: then nothing is concluded.
-pub fn lacking(engines: &[Engine]) -> Option<Part> {
-    let does = |part| engines.iter().any(|engine| engine.present && engine.part == part);
-    match (does(Part::Reads), does(Part::Writes)) {
-        (true, false) => Some(Part::Writes),
-        (false, true) if engines.len() > 1 => Some(Part::Reads),
+pub fn missing_role(engines: &[Engine]) -> Option<EngineRole> {
+    let does = |part| engines.iter().any(|engine| engine.available && engine.role == part);
+    match (does(EngineRole::Reads), does(EngineRole::Writes)) {
+        (true, false) => Some(EngineRole::Writes),
+        (false, true) if engines.len() > 1 => Some(EngineRole::Reads),
         (false, true) | (true, true) | (false, false) => None,
     }
 }
@@ -160,12 +160,12 @@
 /// Those that write are kept spread over failure domains, since there are few of them and a part
 /// whose engines stand in one domain is lost with it: the domain with most of them gives one up, and
 /// the one with fewest gets one. Of equals the engine with the least work changes.
-pub fn changes(engines: &[Engine], wanted: usize) -> Vec<usize> {
-    let reading = reading(engines);
+pub fn engines_to_change(engines: &[Engine], wanted: usize) -> Vec<usize> {
+    let reading = count_prefill(engines);
     let (from, missing) = if reading < wanted {
-        (Part::Writes, wanted - reading)
+        (EngineRole::Writes, wanted - reading)
     } else {
-        (Part::Reads, reading - wanted)
+        (EngineRole::Reads, reading - wanted)
     };
     let mut domains = domains(engines, from);
     let mut chosen = Vec::new();
@@ -173,16 +173,16 @@
         let able = domains.iter_mut().filter(|domain| !domain.able.is_empty());
         let best = able.min_by_key(|domain| {
             let crowded = match from {
-                Part::Writes => usize::MAX - domain.writers,
-                Part::Reads => domain.writers,
+                EngineRole::Writes => usize::MAX - domain.writers,
+                EngineRole::Reads => domain.writers,
             };
             (crowded, domain.able.last().copied())
         });
         let Some(domain) = best else { break };
         chosen.extend(domain.able.pop().map(|(_, at)| at));
         match from {
-            Part::Writes => domain.writers -= 1,
-            Part::Reads => domain.writers += 1,
+            EngineRole::Writes => domain.writers -= 1,
+            EngineRole::Reads => domain.writers += 1,
         }
     }
     chosen
@@ -199,12 +199,12 @@
 
 /// The failure domains, with their engines that do the part `from` now. Compared one with another,
 /// engines would cost the square of their number: 3,000 took seconds, each quarter of a second.
-fn domains(engines: &[Engine], from: Part) -> Vec<Domain> {
+fn domains(engines: &[Engine], from: EngineRole) -> Vec<Domain> {
     let mut domains: BTreeMap<Hash, Domain> = BTreeMap::new();
     for (at, engine) in engines.iter().enumerate() {
         let domain = domains.entry(engine.domain).or_default();
-        domain.writers += usize::from(engine.part == Part::Writes);
-        if engine.part == from && engine.present {
+        domain.writers += usize::from(engine.role == EngineRole::Writes);
+        if engine.role == from && engine.available {
             domain.able.push((engine.work, at));
         }
     }
--- a/crates/policy/src/handover.rs
+++ b/crates/policy/src/transfer.rs
@@ -29,18 +29,18 @@
 
 /// The transfers of one engine in one direction.
 #[derive(Debug, Clone, Copy)]
-pub struct Handover {
+pub struct TransferTime {
     seconds: f64,
     at: Time,
 }
 
-impl Default for Handover {
+impl Default for TransferTime {
     fn default() -> Self {
         Self { seconds: USUAL, at: Time::ZERO }
     }
 }
 
-impl Handover {
+impl TransferTime {
     /// Takes in how long a transfer took.
     pub fn sample(&mut self, took: Duration, now: Time) {
         let expected = self.seconds(now);
--- a/crates/policy/src/usage.rs
+++ b/crates/policy/src/usage.rs
@@ -10,10 +10,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 /// The number of a window of time; they follow each other without gaps.
-pub type Window = u64;
+pub type WindowIndex = u64;
 
 /// One life of one entry.
-pub type Life = u64;
+pub type Incarnation = u64;
 
 /// Requests of one customer in one window.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -34,12 +34,17 @@
 /// What was told of all windows that are remembered.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    windows: BTreeMap<Window, HashMap<Life, HashMap<CompactString, u64>>>,
+    windows: BTreeMap<WindowIndex, HashMap<Incarnation, HashMap<CompactString, u64>>>,
 }
 
 impl Ledger {
     /// Takes in how far one life of an entry has counted.
-    pub fn take(&mut self, life: Life, window: Window, rows: impl IntoIterator<Item = Row>) {
+    pub fn merge(
+        &mut self,
+        life: Incarnation,
+        window: WindowIndex,
+        rows: impl IntoIterator<Item = Row>,
+    ) {
         let counts = self.windows.entry(window).or_default().entry(life).or_default();
         for Row { customer, count } in rows {
             let known = counts.entry(customer).or_default();
@@ -48,12 +53,12 @@
     }
 
     /// Forgets windows far from the present one.
-    pub fn forget(&mut self, present: Window) {
+    pub fn prune(&mut self, present: WindowIndex) {
         self.windows.retain(|window, _| window.abs_diff(present) <= REMEMBERED);
     }
 
     /// The sums of a window.
-    pub fn sums(&self, window: Window) -> Counts {
+    pub fn totals(&self, window: WindowIndex) -> Counts {
         let mut sums = Counts::new();
         let lives = self.windows.get(&window).into_iter().flat_map(HashMap::values);
         for (customer, count) in lives.flatten() {
@@ -63,7 +68,7 @@
     }
 
     /// The first window, of the present one and a few before it, of which anything was told.
-    pub fn first(&self, present: Window) -> Option<Window> {
+    pub fn oldest_recent(&self, present: WindowIndex) -> Option<WindowIndex> {
         let recent = present.saturating_sub(RECENT)..=present;
         self.windows.range(recent).next().map(|(window, _)| *window)
     }
@@ -74,8 +79,8 @@
 
 /// What one entry has counted by itself, and what of it the others have to hear.
 #[derive(Debug, Default)]
-pub struct Own {
-    windows: BTreeMap<Window, HashMap<CompactString, Cell>>,
+pub struct OwnCounts {
+    windows: BTreeMap<WindowIndex, HashMap<CompactString, Cell>>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -88,9 +93,9 @@
 /// Windows back from the present one that may still be told or billed.
 const RECENT: u64 = 4;
 
-impl Own {
+impl OwnCounts {
     /// Counts a request, and says how many there are of its customer in that window.
-    pub fn count(&mut self, window: Window, customer: &CompactString) -> u64 {
+    pub fn count(&mut self, window: WindowIndex, customer: &CompactString) -> u64 {
         let counts = self.windows.entry(window).or_default();
         let cell = counts.entry(customer.clone()).or_default();
         *cell = Cell { count: cell.count + 1, due: TELLINGS };
@@ -100,7 +105,7 @@
     }
 
     /// The rows that are due, by window.
-    pub fn due(&mut self) -> Vec<(Window, Vec<Row>)> {
+    pub fn take_due(&mut self) -> Vec<(WindowIndex, Vec<Row>)> {
         let mut all = Vec::new();
         for (window, counts) in &mut self.windows {
             let due = counts.iter_mut().filter(|(_, cell)| cell.due > 0);
@@ -118,7 +123,7 @@
     }
 
     /// Has all rows told again: somebody is to hear them who has not so far.
-    pub fn repeat(&mut self) {
+    pub fn mark_all_due(&mut self) {
         let cells = self.windows.values_mut().flat_map(HashMap::values_mut);
         cells.for_each(|cell| cell.due = TELLINGS);
     }
--- a/crates/policy/tests/balance.rs
+++ b/crates/policy/tests/balance.rs
@@ -1,16 +1,17 @@
 //! Engines follow the load where one part is short and the other isn't.
 
-use policy::balance::{Load, Pool, Settings, fits, returned, wanted};
-use policy::demand::{Demand, Pace};
+use policy::balance::{Pool, ProjectedLoad, Settings, is_sufficient, rebalance, restore};
+use policy::demand::{DemandTracker, EngineProfile};
 use std::time::Duration;
 
-const PACE: Pace = Pace { reading: 300_000.0, step: 0.001, places: 32 };
+const PACE: EngineProfile =
+    EngineProfile { prefill_rate: 300_000.0, token_time: 0.001, max_streams: 32 };
 const TICK: Duration = Duration::from_millis(250);
 const AHEAD: Duration = Duration::from_millis(4_500);
 
 fn decide(readers: usize, writers: usize, load: (f64, f64)) -> Option<usize> {
-    let load = Load { readers: load.0, writers: load.1 };
-    wanted(&Settings::default(), &load, Pool { readers, writers })
+    let load = ProjectedLoad { prefill: load.0, decode: load.1 };
+    rebalance(&Settings::default(), &load, Pool { prefill: readers, decode: writers })
 }
 
 /// Long answers fill the engines that write while three quarters of the pool read and are empty. Streams
@@ -38,9 +39,9 @@
 #[test]
 fn a_split_that_fits_is_left_alone() {
     assert_eq!(decide(27, 14, (10.0, 9.0)), None);
-    let load = Load { readers: 10.0, writers: 9.0 };
-    assert!(fits(&Settings::default(), &load, Pool { readers: 27, writers: 14 }));
-    assert!(!fits(&Settings::default(), &load, Pool { readers: 19, writers: 22 }));
+    let load = ProjectedLoad { prefill: 10.0, decode: 9.0 };
+    assert!(is_sufficient(&Settings::default(), &load, Pool { prefill: 27, decode: 14 }));
+    assert!(!is_sufficient(&Settings::default(), &load, Pool { prefill: 19, decode: 22 }));
 }
 
 /// The phase of long answers is over, and prompts double soon after. Engines that were lent to streams have
@@ -48,27 +49,27 @@
 #[test]
 fn engines_that_were_lent_come_back_when_they_can() {
     let back = |writers| {
-        let load = Load { readers: 5.0, writers };
-        returned(&Settings::default(), &load, Pool { readers: 20, writers: 21 }, 7)
+        let load = ProjectedLoad { prefill: 5.0, decode: writers };
+        restore(&Settings::default(), &load, Pool { prefill: 20, decode: 21 }, 7)
     };
     assert_eq!(back(9.0), Some(27), "all of them");
     assert_eq!(back(14.0), Some(26), "those that streams can do without");
     assert_eq!(back(18.0), None);
-    let load = Load { readers: 5.0, writers: 9.0 };
-    assert_eq!(returned(&Settings::default(), &load, Pool { readers: 27, writers: 14 }, 0), None);
+    let load = ProjectedLoad { prefill: 5.0, decode: 9.0 };
+    assert_eq!(restore(&Settings::default(), &load, Pool { prefill: 27, decode: 14 }, 0), None);
 }
 
 /// Streams rise by 65 a second, and soon fill all places. That engines are short has to be seen by then, and
 /// not from the queue that follows.
 #[test]
 fn a_rise_of_streams_is_seen_before_it_hurts() {
-    let mut demand = Demand::default();
+    let mut demand = DemandTracker::default();
     let mut streams = 60;
     let mut short_at = None;
     for tick in 0..40 {
         demand.observe(200_000, streams, TICK);
-        let load = demand.load(&PACE, AHEAD);
-        if wanted(&Settings::default(), &load, Pool { readers: 27, writers: 14 }).is_some() {
+        let load = demand.projected_load(&PACE, AHEAD);
+        if rebalance(&Settings::default(), &load, Pool { prefill: 27, decode: 14 }).is_some() {
             short_at = Some(tick);
             break;
         }
@@ -83,7 +84,7 @@
 /// a part has to be short for half a second before any is moved.
 #[test]
 fn waves_move_nothing() {
-    let mut demand = Demand::default();
+    let mut demand = DemandTracker::default();
     let (mut lasts, mut moves) = (0, 0);
     for tick in 0..240 {
         let phase = f64::from(tick) * 0.25 / 2.8 * std::f64::consts::TAU;
@@ -95,9 +96,9 @@
             reason = "a test's load"
         )]
         demand.observe(prompt as u64, streams as u32, TICK);
-        let load = demand.load(&PACE, AHEAD);
-        let pool = Pool { readers: 25, writers: 16 };
-        let short = wanted(&Settings::default(), &load, pool).is_some();
+        let load = demand.projected_load(&PACE, AHEAD);
+        let pool = Pool { prefill: 25, decode: 16 };
+        let short = rebalance(&Settings::default(), &load, pool).is_some();
         lasts = if short { lasts + 1 } else { 0 };
         moves += u32::from(lasts > 2);
     }
