--- a/crates/policy/tests/writers.rs
+++ b/crates/policy/tests/decode.rs
@@ -1,15 +1,15 @@
 //! Which engine writes.
 
-use policy::writers::{Writer, rank};
+use policy::decode::{DecodeCandidate, rank};
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(150);
 
-fn writer(streams: u32, near: bool) -> Writer {
-    Writer { streams, near, slots: 32, ..Writer::default() }
+fn writer(streams: u32, near: bool) -> DecodeCandidate {
+    DecodeCandidate { streams, same_domain: near, slots: 32, ..DecodeCandidate::default() }
 }
 
-fn best(writers: &[Writer]) -> usize {
+fn best(writers: &[DecodeCandidate]) -> usize {
     let ranked = writers.iter().enumerate();
     ranked
         .min_by_key(|(_, writer)| rank(writer, OBJECTIVE))
@@ -29,17 +29,17 @@
 /// The link of the emptiest writer is slow. Transfers to it pile up until each waits for seconds.
 #[test]
 fn a_writer_with_a_slow_link_comes_after_fuller_ones() {
-    let slow = Writer { handover: Duration::from_millis(60), ..writer(0, true) };
+    let slow = DecodeCandidate { transfer_excess: Duration::from_millis(60), ..writer(0, true) };
     assert_eq!(best(&[slow, writer(20, false)]), 1);
-    let barely = Writer { handover: Duration::from_millis(20), ..writer(0, true) };
+    let barely = DecodeCandidate { transfer_excess: Duration::from_millis(20), ..writer(0, true) };
     assert_eq!(best(&[barely, writer(20, false)]), 0);
 }
 
 /// All writers but one are dark. Better a late answer from one that may be there than none.
 #[test]
 fn writers_that_are_away_come_last_but_come() {
-    let away = Writer { away: true, ..writer(0, true) };
-    let changing = Writer { changing: true, ..writer(0, true) };
+    let away = DecodeCandidate { unavailable: true, ..writer(0, true) };
+    let changing = DecodeCandidate { changing: true, ..writer(0, true) };
     assert_eq!(best(&[away, changing, writer(32, false)]), 2);
     assert_eq!(best(&[away, changing]), 1);
     assert_eq!(best(&[away]), 0);
@@ -48,8 +48,11 @@
 /// An engine whose places are taken makes a stream wait while others have room.
 #[test]
 fn an_engine_has_room_up_to_a_share_of_its_slots() {
-    let writer = Writer { streams: 4, slots: 8, ..Writer::default() };
+    let writer = DecodeCandidate { streams: 4, slots: 8, ..DecodeCandidate::default() };
     assert!(!writer.has_room(50));
     assert!(writer.has_room(75));
-    assert!(!Writer { away: true, ..writer }.has_room(75), "it can't be counted on");
+    assert!(
+        !DecodeCandidate { unavailable: true, ..writer }.has_room(75),
+        "it can't be counted on"
+    );
 }
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/extra_budget.rs
@@ -1,6 +1,6 @@
 //! The budget of extra sendings, over several entries.
 
-use policy::window::{Settings, Window};
+use policy::extra_budget::{ExtraBudget, Settings};
 use std::time::Duration;
 
 const ENTRIES: u32 = 5;
@@ -13,17 +13,17 @@
 /// the extras of all entries go beyond the operators' bound.
 #[test]
 fn a_storm_at_all_entries_stays_within_the_bound() {
-    let mut entries: Vec<_> = (0..ENTRIES).map(|_| Window::new(settings())).collect();
+    let mut entries: Vec<_> = (0..ENTRIES).map(|_| ExtraBudget::new(settings())).collect();
     let mut extras: Vec<Duration> = Vec::new();
     let mut requests: Vec<Duration> = Vec::new();
     for step in 0..3_000u64 {
         let now = Duration::from_millis(step * 10);
         for (number, entry) in entries.iter_mut().enumerate() {
             if (step + number as u64).is_multiple_of(4) {
-                entry.request(now);
+                entry.record_request(now);
                 requests.push(now);
             }
-            if entry.spend(ENTRIES, now) {
+            if entry.try_spend(ENTRIES, now) {
                 extras.push(now);
             }
         }
@@ -41,17 +41,17 @@
 
 #[test]
 fn a_quiet_service_has_its_part_of_the_allowance() {
-    let mut window = Window::new(settings());
-    let spent = (0..100).filter(|_| window.spend(ENTRIES, Duration::from_secs(1))).count();
+    let mut window = ExtraBudget::new(settings());
+    let spent = (0..100).filter(|_| window.try_spend(ENTRIES, Duration::from_secs(1))).count();
     assert_eq!(spent, 8);
 }
 
 #[test]
 fn refused_sendings_count_though_nobody_asked() {
-    let mut window = Window::new(settings());
+    let mut window = ExtraBudget::new(settings());
     for _ in 0..20 {
-        window.owe(Duration::from_secs(1));
+        window.record_extra(Duration::from_secs(1));
     }
-    assert!(!window.spend(ENTRIES, Duration::from_secs(2)));
-    assert!(window.spend(ENTRIES, Duration::from_secs(13)));
+    assert!(!window.try_spend(ENTRIES, Duration::from_secs(2)));
+    assert!(window.try_spend(ENTRIES, Duration::from_secs(13)));
 }
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Limits of callers over many entries.
 
 use policy::admission::Reason;
-use policy::limits::{Limit, Limits, Settings, Usage};
+use policy::limits::{CallerUsage, Limit, Limits, Settings};
 use std::time::Duration;
 
 const LIMIT: Limit = Limit { tokens_per_second: 1_000, concurrency: 0 };
@@ -26,10 +26,10 @@
             }
         }
         if talk && step % 100 == 0 {
-            let told: Vec<Vec<Usage>> = all.iter().map(|limits| limits.tell(now)).collect();
+            let told: Vec<Vec<CallerUsage>> = all.iter().map(|limits| limits.report(now)).collect();
             for (index, limits) in all.iter_mut().enumerate() {
                 let others = told.iter().enumerate().filter(|(other, _)| *other != index);
-                others.for_each(|(other, told)| limits.hear(other as u64, told, now));
+                others.for_each(|(other, told)| limits.observe_peer(other as u64, told, now));
             }
         }
     }
@@ -62,7 +62,7 @@
     assert!(limits.open(&caller, limit, 10, at(0)).is_ok());
     assert!(limits.open(&caller, limit, 10, at(0)).is_ok());
     let refused = limits.open(&caller, limit, 10, at(0)).unwrap_err();
-    assert_eq!(refused.reason, Reason::Concurrency);
+    assert_eq!(refused.reason, Reason::ConcurrencyLimit);
     limits.close(&caller, 10, 10);
     assert!(limits.open(&caller, limit, 10, at(0)).is_ok());
 }
@@ -73,6 +73,6 @@
     let caller = "a".into();
     assert!(limits.open(&caller, LIMIT, 5_000, at(0)).is_ok());
     let refused = limits.open(&caller, LIMIT, 3_000, at(0)).unwrap_err();
-    assert_eq!((refused.reason, refused.retry_after), (Reason::Rate, at(3)));
+    assert_eq!((refused.reason, refused.retry_after), (Reason::RateLimit, at(3)));
     assert!(limits.open(&caller, LIMIT, 3_000, at(3)).is_ok());
 }
--- a/crates/policy/tests/link.rs
+++ b/crates/policy/tests/link.rs
@@ -10,7 +10,7 @@
 
 /// A link of 10 Mbit/s.
 fn small() -> Link {
-    Link::new(Settings { rate: RATE, ..Settings::default() })
+    Link::new(Settings { bytes_per_second: RATE, ..Settings::default() })
 }
 
 /// The link itself: what was put on it leaves in that order, at its rate.
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -1,7 +1,7 @@
 //! Slow and failing targets.
 
 use policy::TargetId;
-use policy::outlier::{Outliers, Sample, Verdict};
+use policy::outlier::{OutlierDetector, Sample, Status};
 use std::time::Duration;
 
 fn at(seconds: u64) -> Duration {
@@ -13,11 +13,11 @@
 }
 
 /// Ten targets that work, of which those in `odd` behave otherwise.
-fn fleet(odd: &[usize], sample: Sample) -> Outliers {
-    let mut outliers = Outliers::default();
+fn fleet(odd: &[usize], sample: Sample) -> OutlierDetector {
+    let mut outliers = OutlierDetector::default();
     for _ in 0..10 {
         for index in 0..10 {
-            let usual = Sample::Done { pace: 1.0 };
+            let usual = Sample::Completed { seconds_per_unit: 1.0 };
             outliers.sample(&name(index), if odd.contains(&index) { sample } else { usual }, at(0));
         }
     }
@@ -28,19 +28,19 @@
 // its deadline.
 #[test]
 fn a_slow_target_is_relieved_and_probed_back() {
-    let slow = Sample::Done { pace: 10.0 };
+    let slow = Sample::Completed { seconds_per_unit: 10.0 };
     let mut outliers = fleet(&[3], slow);
-    assert_eq!(outliers.verdict(&name(3), at(1)), Verdict::Relieved);
-    assert_eq!(outliers.verdict(&name(4), at(1)), Verdict::Normal);
-    assert_eq!(outliers.verdict(&name(3), at(5)), Verdict::Probe);
-    outliers.probing(&name(3), at(5));
-    assert_eq!(outliers.verdict(&name(3), at(6)), Verdict::Relieved, "one probe at a time");
+    assert_eq!(outliers.status(&name(3), at(1)), Status::Ejected);
+    assert_eq!(outliers.status(&name(4), at(1)), Status::Normal);
+    assert_eq!(outliers.status(&name(3), at(5)), Status::Probe);
+    outliers.probe_sent(&name(3), at(5));
+    assert_eq!(outliers.status(&name(3), at(6)), Status::Ejected, "one probe at a time");
     outliers.sample(&name(3), slow, at(7));
-    assert_eq!(outliers.verdict(&name(3), at(8)), Verdict::Relieved, "a bad probe");
-    assert_eq!(outliers.verdict(&name(3), at(17)), Verdict::Probe);
-    outliers.probing(&name(3), at(17));
-    outliers.sample(&name(3), Sample::Done { pace: 1.2 }, at(18));
-    assert_eq!(outliers.verdict(&name(3), at(18)), Verdict::Normal);
+    assert_eq!(outliers.status(&name(3), at(8)), Status::Ejected, "a bad probe");
+    assert_eq!(outliers.status(&name(3), at(17)), Status::Probe);
+    outliers.probe_sent(&name(3), at(17));
+    outliers.sample(&name(3), Sample::Completed { seconds_per_unit: 1.2 }, at(18));
+    assert_eq!(outliers.status(&name(3), at(18)), Status::Normal);
 }
 
 // An engine refuses everything within a millisecond, so it always looks idle, and routing by load
@@ -48,13 +48,17 @@
 #[test]
 fn a_target_that_fails_fast_is_relieved() {
     let outliers = fleet(&[3], Sample::Failed);
-    assert_eq!(outliers.verdict(&name(3), at(1)), Verdict::Relieved);
+    assert_eq!(outliers.status(&name(3), at(1)), Status::Ejected);
 }
 
 // A crowd makes all engines slow, or a switch fails most attempts. Relieving them all would leave
 // nothing to serve with.
 #[test]
 fn at_most_a_third_of_the_fleet_is_relieved() {
-    assert_eq!(fleet(&[0, 1, 2, 3, 4, 5], Sample::Failed).relieved(), 3);
-    assert_eq!(fleet(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], Sample::Done { pace: 50.0 }).relieved(), 0);
+    assert_eq!(fleet(&[0, 1, 2, 3, 4, 5], Sample::Failed).ejected(), 3);
+    assert_eq!(
+        fleet(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], Sample::Completed { seconds_per_unit: 50.0 })
+            .ejected(),
+        0
+    );
 }
--- a/crates/policy/tests/pacing.rs
+++ b/crates/policy/tests/pacing.rs
@@ -2,7 +2,7 @@
 
 #![expect(clippy::cast_precision_loss, clippy::cast_possible_truncation, reason = "small numbers")]
 
-use policy::pacing::{Ask, Limit, Pacer, Rank, STANDBY_PART};
+use policy::pacing::{Pacer, Priority, RateLimit, Requester, STANDBY_SHARE};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt::Write;
@@ -16,30 +16,30 @@
 /// its limit. Taken at its word it would let all requests through again.
 #[test]
 fn an_answer_that_was_overtaken_ends_no_limit() {
-    let mut limit = Limit::default();
-    assert!(limit.hear(Some(10.0), ms(0), ms(100)));
-    assert!(!limit.hear(None, ms(50), ms(110)));
-    assert!(!limit.hear(Some(40.0), ms(99), ms(120)));
+    let mut limit = RateLimit::default();
+    assert!(limit.observe(Some(10.0), ms(0), ms(100)));
+    assert!(!limit.observe(None, ms(50), ms(110)));
+    assert!(!limit.observe(Some(40.0), ms(99), ms(120)));
     assert_eq!(limit.rate(), Some(10.0));
-    assert!(limit.hear(Some(40.0), ms(101), ms(130)));
-    assert!(limit.hear(None, ms(131), ms(140)));
+    assert!(limit.observe(Some(40.0), ms(101), ms(130)));
+    assert!(limit.observe(None, ms(131), ms(140)));
     assert_eq!(limit.rate(), None);
 }
 
 /// The target needs more relief than before. Its answer counts whenever it was asked for.
 #[test]
 fn a_lower_limit_counts_at_once() {
-    let mut limit = Limit::default();
-    limit.hear(Some(10.0), ms(0), ms(100));
-    assert!(limit.hear(Some(4.0), ms(0), ms(90)));
-    assert_eq!((limit.rate(), limit.heard()), (Some(4.0), ms(100)));
+    let mut limit = RateLimit::default();
+    limit.observe(Some(10.0), ms(0), ms(100));
+    assert!(limit.observe(Some(4.0), ms(0), ms(90)));
+    assert_eq!((limit.rate(), limit.received_at()), (Some(4.0), ms(100)));
 }
 
-const URGENT: Rank = 0;
-const LATER: Rank = 3;
+const URGENT: Priority = 0;
+const LATER: Priority = 3;
 
-fn ask(entry: u64, rank: Rank) -> Ask {
-    Ask { entry, rank }
+fn ask(entry: u64, rank: Priority) -> Requester {
+    Requester { entry, priority: rank }
 }
 
 /// A coordinator was killed and another begins: it doesn't know what was given out just before.
@@ -47,19 +47,19 @@
 fn who_begins_has_no_permits_saved_up() {
     let mut pacer = Pacer::new(ms(0));
     pacer.set_limit(10.0, 1.0, ms(0));
-    assert_eq!(pacer.take(ask(1, URGENT), ms(0)), Err(ms(100)));
-    assert_eq!(pacer.take(ask(1, URGENT), ms(101)), Ok(()));
+    assert_eq!(pacer.acquire(ask(1, URGENT), ms(0)), Err(ms(100)));
+    assert_eq!(pacer.acquire(ask(1, URGENT), ms(101)), Ok(()));
 }
 
 /// Of two entries one passes on a limit that the target has lowered since: it came late. What the coordinator
 /// knows of the other's must not be raised by it.
 #[test]
 fn a_limit_that_is_passed_on_counts_by_when_its_request_was_sent() {
-    let mut late = Limit::default();
-    late.hear(Some(20.0), ms(0), ms(100));
-    let mut known = Limit::default();
-    known.hear(Some(5.0), ms(8), ms(12));
-    assert!(!known.hear(late.rate(), late.sent(), late.heard()));
+    let mut late = RateLimit::default();
+    late.observe(Some(20.0), ms(0), ms(100));
+    let mut known = RateLimit::default();
+    known.observe(Some(5.0), ms(8), ms(12));
+    assert!(!known.observe(late.rate(), late.sent_at(), late.received_at()));
     assert_eq!(known.rate(), Some(5.0));
 }
 
@@ -68,7 +68,7 @@
 fn a_limit_of_nothing_lets_one_through_each_two_seconds() {
     let mut pacer = Pacer::new(ms(0));
     pacer.set_limit(0.0, 1.0, ms(0));
-    let given = (0..=600).filter(|at| pacer.take(ask(1, URGENT), ms(at * 100)).is_ok()).count();
+    let given = (0..=600).filter(|at| pacer.acquire(ask(1, URGENT), ms(at * 100)).is_ok()).count();
     assert_eq!(given, 30);
 }
 
@@ -76,15 +76,15 @@
 /// some saved up, must not exceed that.
 #[test]
 fn two_that_give_permits_for_a_limit_of_nothing_stay_within_what_is_allowed() {
-    let mut pacers = [(Pacer::new(ms(0)), 1.0), (Pacer::new(ms(0)), STANDBY_PART)];
+    let mut pacers = [(Pacer::new(ms(0)), 1.0), (Pacer::new(ms(0)), STANDBY_SHARE)];
     for (pacer, part) in &mut pacers {
         pacer.set_limit(0.0, *part, ms(0));
-        assert_eq!(pacer.look(URGENT, ms(60_000)), Ok(()));
+        assert_eq!(pacer.check(URGENT, ms(60_000)), Ok(()));
     }
     let mut given = 0;
     for at in 60_000..64_000 {
         for (pacer, _) in &mut pacers {
-            given += u32::from(pacer.take(ask(1, URGENT), ms(at)).is_ok());
+            given += u32::from(pacer.acquire(ask(1, URGENT), ms(at)).is_ok());
         }
     }
     assert!(given <= 5, "{given}");
@@ -95,7 +95,7 @@
 fn a_limit_beyond_all_demand_refuses_nobody() {
     let mut pacer = Pacer::new(ms(0));
     pacer.set_limit(1e9, 1.0, ms(0));
-    assert!((1..10_000).all(|at| pacer.take(ask(1, LATER), ms(at)).is_ok()));
+    assert!((1..10_000).all(|at| pacer.acquire(ask(1, LATER), ms(at)).is_ok()));
 }
 
 /// Permits are scarce and most requests are not urgent. The few that are must not wait behind them, and
@@ -111,7 +111,7 @@
             let kind = usize::from(!is_urgent);
             asked[kind] += 1;
             let rank = if is_urgent { URGENT } else { LATER };
-            given[kind] += u32::from(pacer.take(ask(at, rank), ms(at * 10)).is_ok());
+            given[kind] += u32::from(pacer.acquire(ask(at, rank), ms(at * 10)).is_ok());
         }
         (given, asked)
     };
@@ -205,9 +205,9 @@
                 continue;
             }
             questions += 1;
-            let part = if desk == 0 { 1.0 } else { STANDBY_PART };
+            let part = if desk == 0 { 1.0 } else { STANDBY_SHARE };
             desks[desk].set_limit(limit, part, ms(at));
-            match desks[desk].take(ask(entry as u64, URGENT), ms(at)) {
+            match desks[desk].acquire(ask(entry as u64, URGENT), ms(at)) {
                 Ok(()) => true,
                 Err(after) => {
                     let spread = random.random_range(0.75..1.25);
--- a/crates/policy/tests/parted.rs
+++ b/crates/policy/tests/parted.rs
@@ -2,20 +2,20 @@
 //! that read for others that write.
 
 use policy::model::parted::{Figures, Options, Outcome, run, swinging};
-use policy::{prompts, split};
+use policy::{prefill, split};
 use std::time::Duration;
 
 fn play(options: Options) -> Outcome {
     run(&Figures::default(), &swinging(), &options)
 }
 
-fn with_prompts(prompts: prompts::Settings) -> Outcome {
+fn with_prompts(prompts: prefill::Settings) -> Outcome {
     play(Options { prompts, ..Options::default() })
 }
 
 fn with_readers(readers: f64) -> Outcome {
     play(Options {
-        split: split::Settings { fixed: Some(readers), ..split::Settings::default() },
+        split: split::Settings { fixed_share: Some(readers), ..split::Settings::default() },
         ..Options::default()
     })
 }
@@ -37,9 +37,9 @@
 /// them at others. Read again instead of copied, they take the room of other prompts.
 #[test]
 fn copies_from_any_holder_save_reading() {
-    let settings = prompts::Settings::default();
+    let settings = prefill::Settings::default();
     let copies = with_prompts(settings.clone());
-    let none = with_prompts(prompts::Settings { least_copy: u64::MAX / 2, ..settings });
+    let none = with_prompts(prefill::Settings { min_copy_tokens: u64::MAX / 2, ..settings });
     assert!(copies.read_again * 5 < none.read_again * 4, "{copies:?} {none:?}");
     assert!(copies.long.in_time > none.long.in_time + 150, "{copies:?} {none:?}");
 }
@@ -48,9 +48,9 @@
 /// late as they are.
 #[test]
 fn latecomers_behind_fresh_ones_bring_more_in_time() {
-    let settings = prompts::Settings::default();
+    let settings = prefill::Settings::default();
     let behind = with_prompts(settings.clone());
-    let equal = with_prompts(prompts::Settings { late_part: 1.0, ..settings });
+    let equal = with_prompts(prefill::Settings { late_fraction: 1.0, ..settings });
     assert!(behind.long.in_time > equal.long.in_time + 100, "{behind:?} {equal:?}");
     assert!(behind.long.late < equal.long.late, "{behind:?} {equal:?}");
 }
@@ -59,9 +59,9 @@
 #[test]
 fn the_time_that_reading_leaves_is_the_right_one() {
     let at = |reserve| {
-        with_prompts(prompts::Settings { reserve, ..prompts::Settings::default() }).long.in_time
+        with_prompts(prefill::Settings { reserve, ..prefill::Settings::default() }).long.in_time
     };
-    let chosen = at(prompts::Settings::default().reserve);
+    let chosen = at(prefill::Settings::default().reserve);
     let (shorter, longer) = (at(Duration::from_millis(105)), at(Duration::from_millis(20)));
     assert!(chosen > shorter + 100 && chosen > longer, "{shorter} {chosen} {longer}");
 }
--- a/crates/policy/tests/prompts.rs
+++ b/crates/policy/tests/prefill.rs
@@ -1,30 +1,32 @@
 //! Where prompts are read.
 
-use policy::prompts::{Place, Prompt, Rate, Reader, Settings, come_back, place};
+use policy::prefill::{
+    Placement, PrefillCandidate, PrefillRate, Prompt, Settings, place, retry_after,
+};
 use std::time::Duration;
 
 const ENTRIES: u32 = 1;
 
-fn reader(key: u64) -> Reader {
-    Reader {
+fn reader(key: u64) -> PrefillCandidate {
+    PrefillCandidate {
         key: policy::hash(&key.to_string()),
-        writes: false,
-        waiting: 0,
-        kept: 0,
-        filled: 0.0,
-        handover: Duration::ZERO,
+        decodes: false,
+        queued_tokens: 0,
+        cached_tokens: 0,
+        slot_usage: 0.0,
+        transfer_excess: Duration::ZERO,
         domain: key % 2,
     }
 }
 
 fn prompt(start: u64) -> Prompt {
-    Prompt { start, tokens: 9_000, objective: Duration::from_millis(150), late: false }
+    Prompt { prefix_hash: start, tokens: 9_000, objective: Duration::from_millis(150), late: false }
 }
 
-fn at(place: Place) -> Option<usize> {
+fn at(place: Placement) -> Option<usize> {
     match place {
-        Place::Read { at, .. } => Some(at),
-        Place::Full(_) => None,
+        Placement::Prefill { at, .. } => Some(at),
+        Placement::Full(_) => None,
     }
 }
 
@@ -47,11 +49,11 @@
     let mut readers: Vec<_> = (0..4).map(reader).collect();
     let settings = Settings::default();
     let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
-    readers[home].waiting = 40_000;
-    readers[home].kept = 6_000;
+    readers[home].queued_tokens = 40_000;
+    readers[home].cached_tokens = 6_000;
     let next = place(&settings, &prompt(5), &readers, ENTRIES);
     let at = at(next).filter(|at| *at != home).expect("another engine has room");
-    assert_eq!(next, Place::Read { at, copy_from: Some(home), tokens: 3_000 });
+    assert_eq!(next, Placement::Prefill { at, copy_from: Some(home), tokens: 3_000 });
 }
 
 /// Engines that write took the parts of a prompt over with its KV cache, and the home has lost them
@@ -62,19 +64,19 @@
     let settings = Settings::default();
     let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
     for holder in (0..5).filter(|at| *at != home) {
-        readers[holder].writes = true;
-        readers[holder].kept = 6_000;
+        readers[holder].decodes = true;
+        readers[holder].cached_tokens = 6_000;
     }
-    readers[home].kept = 2_500;
-    let Place::Read { at, copy_from: Some(from), tokens } =
+    readers[home].cached_tokens = 2_500;
+    let Placement::Prefill { at, copy_from: Some(from), tokens } =
         place(&settings, &prompt(5), &readers, ENTRIES)
     else {
         panic!("it was not copied");
     };
     assert_eq!((at, tokens, readers[from].domain), (home, 3_000, readers[home].domain));
-    readers[home].kept = 5_900;
+    readers[home].cached_tokens = 5_900;
     let place = place(&settings, &prompt(5), &readers, ENTRIES);
-    assert_eq!(place, Place::Read { at: home, copy_from: None, tokens: 3_100 });
+    assert_eq!(place, Placement::Prefill { at: home, copy_from: None, tokens: 3_100 });
 }
 
 /// In a burst those that were refused come back, and their objective has passed. Let in like fresh
@@ -83,13 +85,13 @@
 fn prompts_that_are_late_already_are_let_in_only_where_the_queue_is_short() {
     let mut readers: Vec<_> = (0..4).map(reader).collect();
     for reader in &mut readers {
-        reader.waiting = 8_000;
+        reader.queued_tokens = 8_000;
     }
     let settings = Settings::default();
     assert!(at(place(&settings, &prompt(5), &readers, ENTRIES)).is_some());
     let late = Prompt { late: true, ..prompt(5) };
     assert_eq!(at(place(&settings, &late, &readers, ENTRIES)), None);
-    readers[0].waiting = 0;
+    readers[0].queued_tokens = 0;
     assert_eq!(at(place(&settings, &late, &readers, ENTRIES)), Some(0));
 }
 
@@ -99,11 +101,11 @@
 fn refused_callers_come_back_spread_over_the_time_that_they_honour() {
     let settings = Settings::default();
     let back = |soonest, random| {
-        come_back(&settings, Duration::from_millis(soonest), Duration::from_millis(1_800), random)
+        retry_after(&settings, Duration::from_millis(soonest), Duration::from_millis(1_800), random)
     };
     let times = [back(75, 0.0), back(75, 0.5), back(75, 1.0), back(450, 0.0), back(5_000, 0.0)];
     assert_eq!(times.map(|time| time.as_millis()), [300, 450, 600, 450, 600]);
-    let patient = come_back(&settings, Duration::ZERO, Duration::from_secs(60), 1.0);
+    let patient = retry_after(&settings, Duration::ZERO, Duration::from_secs(60), 1.0);
     assert_eq!(patient, Duration::from_secs(1), "who waits a minute is not sent away for long");
 }
 
@@ -114,13 +116,14 @@
     let settings = Settings::default();
     let mut readers: Vec<_> = (0..4).map(reader).collect();
     let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
-    readers[home].kept = 6_000;
-    readers[home].handover = Duration::from_millis(90);
-    let Place::Read { at, copy_from, .. } = place(&settings, &prompt(5), &readers, ENTRIES) else {
+    readers[home].cached_tokens = 6_000;
+    readers[home].transfer_excess = Duration::from_millis(90);
+    let Placement::Prefill { at, copy_from, .. } = place(&settings, &prompt(5), &readers, ENTRIES)
+    else {
         panic!("others have room");
     };
     assert!(at != home && copy_from.is_none());
-    readers[home].handover = Duration::from_millis(10);
+    readers[home].transfer_excess = Duration::from_millis(10);
     assert_eq!(self::at(place(&settings, &prompt(5), &readers, ENTRIES)), Some(home));
 }
 
@@ -130,9 +133,9 @@
 fn a_prompt_that_fits_nowhere_is_refused_at_once_with_a_time() {
     let mut readers: Vec<_> = (0..4).map(reader).collect();
     for reader in &mut readers {
-        reader.waiting = 60_000;
+        reader.queued_tokens = 60_000;
     }
-    let Place::Full(back) = place(&Settings::default(), &prompt(5), &readers, ENTRIES) else {
+    let Placement::Full(back) = place(&Settings::default(), &prompt(5), &readers, ENTRIES) else {
         panic!("it was placed");
     };
     assert!(back > Duration::from_millis(50) && back < Duration::from_millis(250), "{back:?}");
@@ -153,7 +156,7 @@
 /// and nearly all of it is late.
 #[test]
 fn the_reading_rate_is_learnt_though_a_third_of_the_samples_is_far_off() {
-    let mut rate = Rate::new(300_000.0);
+    let mut rate = PrefillRate::new(300_000.0);
     for number in 0..400u32 {
         let tokens = 4_000 + u64::from(number % 7) * 1_000;
         let seconds = tokens as f64 / 100_000.0;
@@ -168,11 +171,11 @@
 /// that it let in came a second late. A few prompts say so.
 #[test]
 fn a_rate_that_is_wrong_by_five_is_right_after_some_prompts() {
-    let mut rate = Rate::new(300_000.0);
+    let mut rate = PrefillRate::new(300_000.0);
     for _ in 0..16 {
         rate.sample(9_000, Duration::from_secs_f64(9_000.0 / 60_000.0) + Duration::from_millis(5));
     }
-    assert!(rate.is_known());
+    assert!(rate.is_learned());
     assert!((48_000.0..75_000.0).contains(&rate.get()), "{}", rate.get());
 }
 
@@ -180,15 +183,15 @@
 /// was kept without its knowing does not move it.
 #[test]
 fn a_rate_taken_over_is_known_at_once_and_moves_slowly() {
-    let mut rate = Rate::known(60_000.0);
-    assert!(rate.is_known());
+    let mut rate = PrefillRate::learned(60_000.0);
+    assert!(rate.is_learned());
     rate.sample(9_000, Duration::from_millis(10));
     assert!((60_000.0..62_000.0).contains(&rate.get()), "{}", rate.get());
 }
 
 #[test]
 fn short_prompts_say_nothing_of_the_rate() {
-    let mut rate = Rate::new(300_000.0);
+    let mut rate = PrefillRate::new(300_000.0);
     for _ in 0..100 {
         rate.sample(200, Duration::from_millis(20));
     }
@@ -200,7 +203,7 @@
 #[test]
 fn short_prompts_are_read_first_and_long_ones_by_rank() {
     let settings = Settings::default();
-    let urgency = |tokens, rank| policy::prompts::urgency(&settings, tokens, rank);
+    let urgency = |tokens, rank| policy::prefill::priority(&settings, tokens, rank);
     assert_eq!(
         [urgency(220, 1), urgency(9_000, 0), urgency(9_000, 1), urgency(9_000, 9)],
         [0, 1, 2, 9]
@@ -213,20 +216,20 @@
 #[test]
 fn engines_that_write_read_what_their_streams_can_bear() {
     let pause = Duration::from_millis(50);
-    let settings = Settings { writer_pause: pause, ..Settings::default() };
-    let engine = |key, writes, waiting, filled| Reader {
+    let settings = Settings { decode_pause: pause, ..Settings::default() };
+    let engine = |key, writes, waiting, filled| PrefillCandidate {
         key,
-        writes,
-        waiting,
-        kept: 0,
-        filled,
-        handover: Duration::ZERO,
+        decodes: writes,
+        queued_tokens: waiting,
+        cached_tokens: 0,
+        slot_usage: filled,
+        transfer_excess: Duration::ZERO,
         domain: 0,
     };
     let asked = |tokens| Prompt { tokens, ..prompt(3) };
     let place = |tokens, filled| {
         let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, filled)];
-        matches!(place(&settings, &asked(tokens), &engines, 1), Place::Read { at: 1, .. })
+        matches!(place(&settings, &asked(tokens), &engines, 1), Placement::Prefill { at: 1, .. })
     };
     // It reads half as fast as one that only reads: 7,500 tokens in 50 ms.
     assert!(place(7_000, 0.5), "it takes less than the pause");
@@ -235,5 +238,5 @@
     assert!(!place(1_000, 0.95), "there is no place to write it");
     let old = Settings::default();
     let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, 0.5)];
-    assert!(matches!(policy::prompts::place(&old, &asked(1_000), &engines, 1), Place::Full(_)));
+    assert!(matches!(policy::prefill::place(&old, &asked(1_000), &engines, 1), Placement::Full(_)));
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,17 +1,17 @@
 //! Requests that ran when a target crashed.
 
-use policy::quarantine::{History, Quarantine, Records, Verdict};
+use policy::quarantine::{CrashHistory, CrashRecords, Quarantine, Verdict};
 use std::cell::Cell;
 
-struct Log(Cell<History>);
+struct Log(Cell<CrashHistory>);
 
-impl Records for Log {
-    fn history(&self, _: u64) -> History {
+impl CrashRecords for Log {
+    fn history(&self, _: u64) -> CrashHistory {
         self.0.get()
     }
 }
 
-fn verdict(history: History) -> Verdict {
+fn verdict(history: CrashHistory) -> Verdict {
     Quarantine::default().decide(&Log(Cell::new(history)), 7)
 }
 
@@ -41,20 +41,20 @@
 
 #[test]
 fn a_suspect_runs_alone_and_one_trial_at_a_time() {
-    let suspect = History { crashes: 1, ..History::default() };
+    let suspect = CrashHistory { crashes: 1, ..CrashHistory::default() };
     assert_eq!(verdict(suspect), Verdict::Alone);
-    assert_eq!(verdict(History { on_trial: true, ..suspect }), Verdict::Wait);
+    assert_eq!(verdict(CrashHistory { running_alone: true, ..suspect }), Verdict::Wait);
 }
 
 // Fifteen innocent requests ran beside the poisonous one. Once one of them has run to its end, the
 // log holds no crash against it.
 #[test]
 fn a_request_that_was_cleared_runs_like_any_other() {
-    assert_eq!(verdict(History::default()), Verdict::Normal);
+    assert_eq!(verdict(CrashHistory::default()), Verdict::Normal);
 }
 
 // Two entries sent it out before the first crash was in the log.
 #[test]
 fn two_crashes_in_company_are_enough() {
-    assert_eq!(verdict(History { crashes: 2, ..History::default() }), Verdict::Refuse);
+    assert_eq!(verdict(CrashHistory { crashes: 2, ..CrashHistory::default() }), Verdict::Refuse);
 }
--- a/crates/policy/tests/reach.rs
+++ b/crates/policy/tests/reachability.rs
@@ -1,7 +1,7 @@
 //! Targets that can't be reached or say nothing.
 
 use policy::Time;
-use policy::reach::Reach;
+use policy::reachability::Reachability;
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_millis(450);
@@ -14,17 +14,17 @@
 /// wait for their deadline, and new ones join them for as long as its record stands.
 #[test]
 fn a_target_that_has_work_and_says_nothing_is_silent() {
-    let mut reach = Reach::default();
-    reach.enter(ms(1_000));
-    reach.enter(ms(1_400));
-    assert!(!reach.is_silent(PATIENCE, ms(1_450)));
-    assert!(reach.is_silent(PATIENCE, ms(1_451)));
-    reach.heard(ms(1_460));
-    assert!(!reach.is_silent(PATIENCE, ms(1_900)));
-    assert!(reach.is_silent(PATIENCE, ms(1_911)), "the other request is still there");
-    reach.leave();
-    reach.leave();
-    assert!(!reach.is_silent(PATIENCE, ms(9_000)), "nothing is asked of it");
+    let mut reach = Reachability::default();
+    reach.request_started(ms(1_000));
+    reach.request_started(ms(1_400));
+    assert!(!reach.is_unresponsive(PATIENCE, ms(1_450)));
+    assert!(reach.is_unresponsive(PATIENCE, ms(1_451)));
+    reach.response_received(ms(1_460));
+    assert!(!reach.is_unresponsive(PATIENCE, ms(1_900)));
+    assert!(reach.is_unresponsive(PATIENCE, ms(1_911)), "the other request is still there");
+    reach.request_ended();
+    reach.request_ended();
+    assert!(!reach.is_unresponsive(PATIENCE, ms(9_000)), "nothing is asked of it");
     assert_eq!(reach.outstanding(), 0);
 }
 
@@ -32,27 +32,27 @@
 /// go there and wait for a connection.
 #[test]
 fn a_pause_ends_with_one_probe_that_succeeds() {
-    let mut reach = Reach::default();
-    reach.unreachable(ms(0));
-    reach.unreachable(ms(10));
+    let mut reach = Reachability::default();
+    reach.connection_failed(ms(0));
+    reach.connection_failed(ms(10));
     assert!(!reach.begin_probe(ms(249)), "attempts that ended together count once");
     assert!(reach.begin_probe(ms(250)));
     assert!(!reach.begin_probe(ms(260)), "one probe at a time");
-    assert!(reach.is_paused());
-    reach.unreachable(ms(300));
+    assert!(reach.is_backing_off());
+    reach.connection_failed(ms(300));
     assert!(!reach.begin_probe(ms(799)) && reach.begin_probe(ms(800)), "the pause doubles");
-    reach.heard(ms(810));
-    assert!(!reach.is_paused());
+    reach.response_received(ms(810));
+    assert!(!reach.is_backing_off());
 }
 
 /// A target that is away for a minute is found within a second or so of its return.
 #[test]
 fn pauses_grow_to_a_second() {
-    let (mut reach, mut now) = (Reach::default(), Time::ZERO);
+    let (mut reach, mut now) = (Reachability::default(), Time::ZERO);
     let mut pauses = Vec::new();
     for _ in 0..5 {
         let began = now;
-        reach.unreachable(now);
+        reach.connection_failed(now);
         while !reach.begin_probe(now) {
             now += ms(10);
         }
--- a/crates/policy/tests/roles.rs
+++ b/crates/policy/tests/roles.rs
@@ -2,7 +2,7 @@
 
 use conf::resource::Role;
 use policy::estimate::Rates;
-use policy::roles::{Change, Demand, Engine, Planner, Roles, Settings};
+use policy::roles::{Change, Demand, Engine, Planner, RolePlanner, Settings};
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(1_000);
@@ -30,7 +30,7 @@
 }
 
 fn decide(settings: Settings, demand: Demand, fleet: &[Engine]) -> Vec<Change> {
-    let mut roles = Roles::new(settings);
+    let mut roles = RolePlanner::new(settings);
     roles.observe(demand, NOW);
     roles.decide(fleet, NOW)
 }
@@ -74,7 +74,7 @@
 // The log or the agents were cut off for a while; the demand that the planner remembers is gone.
 #[test]
 fn nothing_is_ordered_on_old_reports() {
-    let mut roles = Roles::new(settings());
+    let mut roles = RolePlanner::new(settings());
     assert_eq!(roles.decide(&fleet(), NOW), []);
     roles.observe(PROMPTS, NOW);
     assert_eq!(roles.decide(&fleet(), NOW + Duration::from_secs(11)), []);
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -12,7 +12,7 @@
         let domain = format!("domain-{}", index % 3);
         let mut candidate =
             Candidate::new(&format!("engine-{index}"), &domain, vec![policy::hash("small")]);
-        candidate.hear(load(0), NOW);
+        candidate.update_load(load(0), NOW);
         candidate
     };
     (0..many).map(candidate).collect()
@@ -62,7 +62,7 @@
     let mut fleet = fleet(12);
     assert_eq!(share(&choices(&query(), &fleet, NOW), |choice| choice.first % 3 == 0), 1.0);
     let own = fleet.iter_mut().step_by(3);
-    own.for_each(|candidate| candidate.hear(load(5_000), NOW));
+    own.for_each(|candidate| candidate.update_load(load(5_000), NOW));
     assert!(share(&choices(&query(), &fleet, NOW), |choice| choice.spilled) > 0.9);
 }
 
@@ -71,7 +71,7 @@
 fn the_least_work_is_chosen_and_stale_news_of_it_is_not_trusted() {
     let mut fleet = fleet(3);
     fleet.iter_mut().for_each(|candidate| candidate.domain = policy::hash("domain-0"));
-    fleet[1].hear(load(5_000), NOW);
+    fleet[1].update_load(load(5_000), NOW);
     assert!(share(&choices(&query(), &fleet, NOW), |choice| choice.first == 1) < 0.05);
     let later = NOW + Duration::from_secs(60);
     let stale = share(&choices(&query(), &fleet, later), |choice| choice.first == 1);
@@ -83,14 +83,14 @@
 #[test]
 fn work_sent_since_the_last_news_counts() {
     let mut fleet = fleet(3);
-    fleet.iter_mut().for_each(|candidate| candidate.hear(load(1_000), NOW));
-    fleet[0].hear(load(0), NOW);
+    fleet.iter_mut().for_each(|candidate| candidate.update_load(load(1_000), NOW));
+    fleet[0].update_load(load(0), NOW);
     let mut random = Random::new(5);
     let mut route = Weighted::default();
     let mut sent = [0; 3];
     for _ in 0..60 {
         let first = route.choose(&query(), &fleet, NOW, random.rng()).unwrap().first;
-        fleet[first].send(query().cost);
+        fleet[first].record_sent(query().cost);
         sent[first] += 1;
     }
     assert!(sent[0] < 40 && sent[1] > 5 && sent[2] > 5, "{sent:?}");
@@ -106,7 +106,7 @@
     assert_eq!(share(&chosen, |choice| choice.first == home && choice.affine), 1.0);
     let elsewhere = Query { domain: policy::hash("domain-2"), ..query };
     assert_eq!(choices(&elsewhere, &fleet, NOW)[0].first, home, "entries agree without talking");
-    fleet[home].hear(load(9_000), NOW);
+    fleet[home].update_load(load(9_000), NOW);
     let chosen = choices(&query, &fleet, NOW);
     assert_eq!(share(&chosen, |choice| choice.first == home), 0.0);
     assert_eq!(share(&chosen, |choice| choice.first == chosen[0].first), 1.0);
@@ -127,8 +127,8 @@
 #[test]
 fn the_baseline_of_least_connections_counts_requests_only() {
     let mut fleet = fleet(2);
-    fleet[0].hear(Load { running: 1, cost: Cost::new(0, 50_000), ..Load::default() }, NOW);
-    fleet[1].hear(Load { running: 2, cost: Cost::new(0, 10), ..Load::default() }, NOW);
+    fleet[0].update_load(Load { running: 1, cost: Cost::new(0, 50_000), ..Load::default() }, NOW);
+    fleet[1].update_load(Load { running: 2, cost: Cost::new(0, 10), ..Load::default() }, NOW);
     let mut random = Random::new(5);
     let choice = LeastConnections::default().choose(&query(), &fleet, NOW, random.rng());
     assert_eq!(choice.map(|choice| choice.first), Some(0));
--- a/crates/policy/tests/signals.rs
+++ b/crates/policy/tests/signals.rs
@@ -1,6 +1,6 @@
 //! What follows from what a target says of itself.
 
-use policy::signals::{Change, Closed, Said, Signals, Standing, until_open};
+use policy::signals::{Change, Closed, Signal, SignalState, Signals, until_open};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -10,56 +10,59 @@
 }
 
 fn leaves() -> Signals {
-    Signals { leaving: Said::Value(true), ..Signals::default() }
+    Signals { leaving: Signal::Value(true), ..Signals::default() }
 }
 
 fn pauses(span: Duration) -> Signals {
-    Signals { pause: Said::Value(span), ..Signals::default() }
+    Signals { pause: Signal::Value(span), ..Signals::default() }
 }
 
 /// A target that leaves says so once more in an answer that overtook others, which say nothing. It stays leaving, and
 /// is told once.
 #[test]
 fn leaving_holds_for_good() {
-    let mut standing = Standing::default();
+    let mut standing = SignalState::default();
     assert_eq!(standing.observe(&leaves(), ms(0), ms(5)), [Change::Leaves]);
     assert_eq!(standing.observe(&leaves(), ms(1), ms(6)), []);
-    let stays = Signals { leaving: Said::Value(false), ..Signals::default() };
+    let stays = Signals { leaving: Signal::Value(false), ..Signals::default() };
     assert_eq!(standing.observe(&stays, ms(7), ms(8)), []);
     assert_eq!(standing.observe(&Signals::default(), ms(9), ms(10)), []);
-    assert_eq!(standing.look(ms(99)), Err(Closed::Leaving));
+    assert_eq!(standing.check_open(ms(99)), Err(Closed::Leaving));
 }
 
 /// Dozens of requests on their way are rejected together. They are one pause in the log, and its end another line.
 #[test]
 fn a_pause_is_told_when_it_begins_and_when_it_is_over() {
-    let mut standing = Standing::default();
+    let mut standing = SignalState::default();
     let span = ms(100);
     let began = [Change::Pauses { span, is_new: true }];
     assert_eq!(standing.observe(&pauses(span), ms(0), ms(10)), began);
     let longer = [Change::Pauses { span, is_new: false }];
     assert_eq!(standing.observe(&pauses(span), ms(0), ms(20)), longer);
-    assert_eq!(standing.take(ms(119)), Err(Closed::Paused));
+    assert_eq!(standing.acquire(ms(119)), Err(Closed::Paused));
     assert_eq!(standing.observe(&Signals::default(), ms(9), ms(119)), []);
-    assert_eq!(standing.take(ms(120)), Ok(()));
-    assert_eq!(standing.take(ms(121)), Err(Closed::Paused));
+    assert_eq!(standing.acquire(ms(120)), Ok(()));
+    assert_eq!(standing.acquire(ms(121)), Err(Closed::Paused));
     assert_eq!(standing.observe(&Signals::default(), ms(120), ms(125)), [Change::Resumes]);
-    assert_eq!(standing.take(ms(126)), Ok(()));
+    assert_eq!(standing.acquire(ms(126)), Ok(()));
 }
 
 /// A value that can't be read leaves in force what was known, and fills no log.
 #[test]
 fn what_can_not_be_read_changes_nothing() {
-    let mut standing = Standing::default();
+    let mut standing = SignalState::default();
     standing.observe(&pauses(ms(100)), ms(0), ms(0));
-    standing.observe(&Signals { limit: Said::Value(5.0), ..Signals::default() }, ms(0), ms(0));
-    let unreadable =
-        Signals { limit: Said::Unreadable, leaving: Said::Unreadable, pause: Said::Unreadable };
+    standing.observe(&Signals { limit: Signal::Value(5.0), ..Signals::default() }, ms(0), ms(0));
+    let unreadable = Signals {
+        limit: Signal::Unreadable,
+        leaving: Signal::Unreadable,
+        pause: Signal::Unreadable,
+    };
     let told =
         [Change::Unreadable("limit"), Change::Unreadable("leaving"), Change::Unreadable("pause")];
     assert_eq!(standing.observe(&unreadable, ms(1), ms(2)), told);
     assert_eq!(standing.observe(&unreadable, ms(2), ms(3)), []);
-    assert_eq!(standing.look(ms(50)), Err(Closed::Paused));
+    assert_eq!(standing.check_open(ms(50)), Err(Closed::Paused));
     assert_eq!(standing.limit().rate(), Some(5.0));
     assert!(!standing.is_leaving());
 }
@@ -67,10 +70,10 @@
 /// A target's entry vanishes from the list in an outage and comes back. Its pause goes on, and so does its leaving.
 #[test]
 fn a_life_that_is_listed_again_is_as_it_said() {
-    let standing = Standing::restored(false, Some(ms(70)));
-    assert_eq!(standing.look(ms(69)), Err(Closed::Paused));
-    assert_eq!(standing.look(ms(70)), Ok(()));
-    assert_eq!(Standing::restored(true, None).look(ms(0)), Err(Closed::Leaving));
+    let standing = SignalState::restored(false, Some(ms(70)));
+    assert_eq!(standing.check_open(ms(69)), Err(Closed::Paused));
+    assert_eq!(standing.check_open(ms(70)), Ok(()));
+    assert_eq!(SignalState::restored(true, None).check_open(ms(0)), Err(Closed::Leaving));
 }
 
 /// What one answer says, or a request that is to be sent.
@@ -85,20 +88,20 @@
         return Event::Send;
     }
     let said = |random: &mut ChaCha8Rng, value| match random.random_range(0..6) {
-        0 => Said::Value(value),
-        1 => Said::Unreadable,
-        _ => Said::Nothing,
+        0 => Signal::Value(value),
+        1 => Signal::Unreadable,
+        _ => Signal::Absent,
     };
     let span = ms(random.random_range(0..400));
     let pause = said(random, span);
     let leaving = match random.random_range(0..200) {
-        0 => Said::Value(true),
-        1 => Said::Unreadable,
-        2 => Said::Value(false),
-        _ => Said::Nothing,
+        0 => Signal::Value(true),
+        1 => Signal::Unreadable,
+        2 => Signal::Value(false),
+        _ => Signal::Absent,
     };
     let sent = now.saturating_sub(ms(random.random_range(0..300)));
-    Event::Answer { signals: Signals { pause, leaving, limit: Said::Nothing }, sent }
+    Event::Answer { signals: Signals { pause, leaving, limit: Signal::Absent }, sent }
 }
 
 /// Answers that overtake each other, pauses within pauses, requests that are never answered, in any order. A target that
@@ -107,27 +110,27 @@
 fn in_any_order_a_closed_target_gets_nothing_and_an_open_one_work() {
     for seed in 0..10_000 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let (mut standing, mut now) = (Standing::default(), Duration::ZERO);
+        let (mut standing, mut now) = (SignalState::default(), Duration::ZERO);
         let (mut left, mut until) = (false, Duration::ZERO);
         for _ in 0..200 {
             now += ms(random.random_range(0..25));
             match draw(&mut random, now) {
                 Event::Answer { signals, sent } => {
                     standing.observe(&signals, sent, now);
-                    left |= signals.leaving == Said::Value(true);
-                    if let Said::Value(span) = signals.pause {
+                    left |= signals.leaving == Signal::Value(true);
+                    if let Signal::Value(span) = signals.pause {
                         until = until.max(now + span);
                     }
                 }
                 Event::Send => {
-                    let taken = standing.take(now);
+                    let taken = standing.acquire(now);
                     let closed = left || now < until;
                     assert!(!closed || taken.is_err(), "seed {seed} at {now:?}");
                 }
             }
         }
         now = until.max(now) + ms(2_500);
-        assert_eq!(standing.take(now).is_ok(), !left, "seed {seed}");
+        assert_eq!(standing.acquire(now).is_ok(), !left, "seed {seed}");
     }
 }
 
@@ -135,10 +138,10 @@
 /// next. Taken for a second request it would be held back, and the target be left alone for another half second.
 #[test]
 fn a_request_that_was_counted_may_go_on_another_connection() {
-    let mut standing = Standing::default();
+    let mut standing = SignalState::default();
     standing.observe(&pauses(ms(100)), ms(0), ms(0));
-    assert_eq!(standing.take(ms(100)), Ok(()));
-    assert_eq!(standing.take(ms(101)), Err(Closed::Paused));
+    assert_eq!(standing.acquire(ms(100)), Ok(()));
+    assert_eq!(standing.acquire(ms(101)), Err(Closed::Paused));
     assert_eq!(standing.recheck(ms(101)), Ok(()));
     standing.observe(&pauses(ms(100)), ms(100), ms(102));
     assert_eq!(standing.recheck(ms(103)), Err(Closed::Paused));
--- a/crates/policy/tests/handover.rs
+++ b/crates/policy/tests/transfer.rs
@@ -1,7 +1,7 @@
 //! Engines whose links are slow.
 
 use policy::Time;
-use policy::handover::Handover;
+use policy::transfer::TransferTime;
 use std::time::Duration;
 
 fn ms(ms: u64) -> Time {
@@ -12,7 +12,7 @@
 /// until each waits for two seconds and is refused.
 #[test]
 fn a_slow_link_is_known_after_ten_transfers() {
-    let mut link = Handover::default();
+    let mut link = TransferTime::default();
     for number in 0..10 {
         link.sample(ms(100), ms(1_000 + number * 20));
     }
@@ -24,7 +24,7 @@
 /// Judged by their mean, all readers would look slow.
 #[test]
 fn the_other_ends_slowness_is_not_counted_here() {
-    let mut link = Handover::default();
+    let mut link = TransferTime::default();
     let mut worst = Duration::ZERO;
     for number in 0..400 {
         let took = if number % 4 == 0 { ms(300) } else { ms(8) };
@@ -37,7 +37,7 @@
 /// A link that was slow gets no transfers, so nothing would ever show that it has recovered.
 #[test]
 fn what_was_learnt_fades_without_transfers() {
-    let mut link = Handover::default();
+    let mut link = TransferTime::default();
     for number in 0..40 {
         link.sample(ms(1_500), ms(number * 20));
     }
