--- a/crates/policy/benches/route.rs
+++ b/crates/policy/benches/route.rs
@@ -3,8 +3,8 @@
 
 use criterion::{Criterion, criterion_group, criterion_main};
 use policy::estimate::{Cost, Estimator};
-use policy::model::Random;
 use policy::route::{Candidate, Load, Query, Route, Weighted};
+use policy::simulation::Random;
 use std::hint::black_box;
 use std::time::Duration;
 
--- a/crates/policy/examples/decisions.rs
+++ b/crates/policy/examples/decisions.rs
@@ -1,11 +1,11 @@
 //! Makes the tables of `docs/DECISIONS.md`:
 //! `cargo run --release -p policy --example decisions -- NAME`.
 
-use policy::model::compare::{capacity_tokens, compare, setups};
-use policy::model::scenario::{self, ENGINES, Scale};
-use policy::model::setup::Setup;
-use policy::model::table::Table;
-use policy::model::{late, parted, swing};
+use policy::simulation::compare::{capacity_tokens, compare, setups};
+use policy::simulation::scenario::{self, ENGINES, Scale};
+use policy::simulation::setup::Setup;
+use policy::simulation::table::Table;
+use policy::simulation::{disaggregated, late_binding, swing};
 
 const FULL: Scale = Scale(1.0);
 
@@ -31,14 +31,19 @@
 }
 
 fn table(name: &str) -> Option<Table> {
-    let late = late::Setup::default();
+    let late = late_binding::Setup::default();
     let table = match name {
-        "late-binding" => late::compare(&late),
-        "late-binding-slots" => late::compare(&late::Setup { targets: ENGINES, slots: 16, ..late }),
-        "late-binding-slow-link" => late::compare(&late::Setup { round_trip: 0.05, ..late }),
-        "late-binding-paper" => {
-            late::compare(&late::Setup { lengths: late::Lengths::Paper, ..late })
+        "late-binding" => late_binding::compare(&late),
+        "late-binding-slots" => {
+            late_binding::compare(&late_binding::Setup { targets: ENGINES, slots: 16, ..late })
         }
+        "late-binding-slow-link" => {
+            late_binding::compare(&late_binding::Setup { round_trip: 0.05, ..late })
+        }
+        "late-binding-paper" => late_binding::compare(&late_binding::Setup {
+            lengths: late_binding::Lengths::Paper,
+            ..late
+        }),
         "burst" => compare(&scenario::burst(FULL), &setups(), &["short", "urgent"]),
         "hot-caller" => compare(&scenario::hot_caller(FULL), &setups(), &["short", "hot"]),
         "hot-prefix" => compare(&scenario::hot_prefix(FULL), &setups(), &["hot-prefix", "prefix"]),
@@ -59,8 +64,8 @@
             compare(&scenario::poison_at_once(FULL), &setups(), &["short", "poison"])
         }
         "retry-storm" => compare(&scenario::retry_storm(FULL), &setups(), &["short"]),
-        "parted" => parted::compare(),
-        "knowledge" => parted::knowledge(),
+        "parted" => disaggregated::compare(),
+        "knowledge" => disaggregated::compare_coordination(),
         "swing" => swing::compare(FULL, &pool(14, 3, 0.85), &policies()),
         "swing-costly-mixing" => swing::compare(FULL, &pool(14, 3, 0.6), &policies()),
         "swing-small" => swing::compare(FULL, &pool(9, 4, 0.85), &policies()),
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! in as [`Time`] and random numbers as `&mut dyn rand::Rng`. So each decision can be read, tested
 //! and measured by itself. Each module's page says which load pattern it answers, what happens
 //! without it, and the grounds for its figures. `docs/DECISIONS.md` holds the measurements, which
-//! [`model`] makes with these same types.
+//! [`simulation`] makes with these same types.
 
 pub mod admission;
 pub mod balance;
@@ -20,7 +20,6 @@
 pub mod lease;
 pub mod limits;
 pub mod link;
-pub mod model;
 pub mod outlier;
 pub mod pacing;
 pub mod pause;
@@ -34,6 +33,7 @@
 pub mod roles;
 pub mod route;
 pub mod signals;
+pub mod simulation;
 pub mod split;
 pub mod subset;
 pub mod transfer;
--- a/crates/policy/src/model.rs
+++ b/crates/policy/src/simulation.rs
@@ -6,10 +6,10 @@
 //! seed, so each figure is the same in every run and every way of deciding meets the same arrivals.
 
 pub mod compare;
+pub mod disaggregated;
 pub mod figures;
-pub mod late;
+pub mod late_binding;
 pub mod oracle;
-pub mod parted;
 pub mod pool;
 pub mod scenario;
 pub mod setup;
--- a/crates/policy/src/model/parted.rs
+++ b/crates/policy/src/simulation/disaggregated.rs
@@ -16,7 +16,7 @@
 mod fleet;
 mod traffic;
 
-pub use compare::{compare, knowledge};
+pub use compare::{compare, compare_coordination};
 pub use engine::Figures;
 pub use fleet::{Options, run};
 pub use traffic::{Class, Traffic, swinging};
--- a/crates/policy/src/model/parted/compare.rs
+++ b/crates/policy/src/simulation/disaggregated/compare.rs
@@ -1,7 +1,7 @@
 //! The table that compares ways of deciding.
 
 use super::{Figures, Options, run, swinging};
-use crate::model::table::Table;
+use crate::simulation::table::Table;
 use crate::{prefill, split};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 
 /// Compares what entries know of engines' queues, for the same load an engine with more and more
 /// entries: told by each to all others, or known by one coordinator an engine.
-pub fn knowledge() -> Table {
+pub fn compare_coordination() -> Table {
     let head = ["entries", "engines", "told each", "long: in time", "late", "refused", "worth"];
     let mut table = Table::new(&head);
     for (entries, engines) in [(5, 14), (12, 48), (27, 48), (68, 48), (390, 48)] {
--- a/crates/policy/src/model/parted/traffic.rs
+++ b/crates/policy/src/simulation/disaggregated/traffic.rs
@@ -1,7 +1,7 @@
 //! What callers ask for: long prompts that share parts, and short ones with long output, in swings.
 
-use crate::model::Random;
 use crate::prefill::Prompt;
+use crate::simulation::Random;
 use std::time::Duration;
 
 /// The kind of a request.
--- a/crates/policy/src/model/pool/crash.rs
+++ b/crates/policy/src/simulation/pool/crash.rs
@@ -2,10 +2,10 @@
 
 use super::{Event, Pool};
 use crate::admission::Reason;
-use crate::model::engine::CallIndex;
-use crate::model::figures::Outcome;
 use crate::outlier::Sample;
 use crate::quarantine::Verdict;
+use crate::simulation::engine::CallIndex;
+use crate::simulation::figures::Outcome;
 use conf::resource::Role;
 
 /// Seconds until an engine that crashed works again.
--- a/crates/policy/src/model/pool/roles.rs
+++ b/crates/policy/src/simulation/pool/roles.rs
@@ -1,10 +1,10 @@
 //! Role changes: the planner's view of the pool, and its orders carried out.
 
 use super::{Event, Pool, TICK};
-use crate::model::engine::{CallIndex, SLOTS};
 use crate::number::{float, span};
 use crate::queue;
 use crate::roles::{self, Demand};
+use crate::simulation::engine::{CallIndex, SLOTS};
 use conf::resource::Role;
 
 impl Pool<'_> {
--- a/crates/policy/src/model/pool/serve.rs
+++ b/crates/policy/src/simulation/pool/serve.rs
@@ -3,13 +3,13 @@
 use super::{Call, Event, Pool, model};
 use crate::admission::{Reason, Request, Result, TargetState};
 use crate::estimate::{Cost, Rates};
-use crate::model::engine::{CallIndex, Done, Engine};
-use crate::model::figures::Outcome;
 use crate::number::{count, float, span};
 use crate::outlier::{Sample, Status};
 use crate::quarantine;
 use crate::queue::{self, Item, Pushed};
 use crate::route::{Load, Query, Stage};
+use crate::simulation::engine::{CallIndex, Done, Engine};
+use crate::simulation::figures::Outcome;
 use conf::resource::Role;
 
 /// Seconds in which KV cache goes from a prefill engine to another.
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -2,11 +2,11 @@
 
 use conf::resource::Policy;
 use policy::binding::{Binding, LazyQueue, ShortestQueue, Stealing};
-use policy::model::compare::{capacity_tokens, compare, setups};
-use policy::model::scenario::{self, ENGINES, Scale};
-use policy::model::setup::Setup;
-use policy::model::{late, pool, swing};
 use policy::roles::Settings;
+use policy::simulation::compare::{capacity_tokens, compare, setups};
+use policy::simulation::scenario::{self, ENGINES, Scale};
+use policy::simulation::setup::Setup;
+use policy::simulation::{late_binding, pool, swing};
 
 const SMALL: Scale = Scale(0.25);
 
@@ -24,7 +24,8 @@
     table("poison", &["short", "poison"], scenario::poison(SMALL));
     table("retry-storm", &["short"], scenario::retry_storm(SMALL));
     let requests = 10_000;
-    let late = late::compare(&late::Setup { requests, ..late::Setup::default() });
+    let late =
+        late_binding::compare(&late_binding::Setup { requests, ..late_binding::Setup::default() });
     insta::assert_snapshot!("late-binding", late.to_string());
 }
 
@@ -119,8 +120,8 @@
 // Lengths are unknown, and a request waits behind a long answer while its other candidate is idle.
 #[test]
 fn late_binding_shortens_the_tail() {
-    let setup = late::Setup { requests: 20_000, ..late::Setup::default() };
-    let p99 = |way: &dyn Binding| late::measure(&setup, way).wait[1];
+    let setup = late_binding::Setup { requests: 20_000, ..late_binding::Setup::default() };
+    let p99 = |way: &dyn Binding| late_binding::measure(&setup, way).wait[1];
     let (eager, stealing, lazy) = (p99(&ShortestQueue), p99(&Stealing), p99(&LazyQueue));
     assert!(lazy < stealing && stealing < eager, "{lazy} {stealing} {eager}");
 }
--- a/crates/policy/tests/parted.rs
+++ b/crates/policy/tests/disaggregated.rs
@@ -1,7 +1,7 @@
 //! Decisions about prompts, writers and the split under a load that swings, on a model of engines
 //! that read for others that write.
 
-use policy::model::parted::{Figures, Options, Outcome, run, swinging};
+use policy::simulation::disaggregated::{Figures, Options, Outcome, run, swinging};
 use policy::{prefill, split};
 use std::time::Duration;
 
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,7 +1,7 @@
 //! Budgets of retries.
 
-use policy::model::Random;
 use policy::retry::Budget;
+use policy::simulation::Random;
 use std::time::Duration;
 
 // A failure domain blinks and every attempt fails for a while. Each request tried three times
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -1,8 +1,8 @@
 //! Which targets a request goes to.
 
 use policy::estimate::Cost;
-use policy::model::Random;
 use policy::route::{Candidate, Choice, LeastConnections, Load, Query, Route, Stage, Weighted};
+use policy::simulation::Random;
 use std::time::Duration;
 
 const NOW: Duration = Duration::from_secs(100);
