--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -1,79 +1,88 @@
-//! When engines change what they do because one part is short of them and the other isn't.
+//! Decides when engines change their role because one role is short of engines and the other is
+//! not.
 //!
-//! **Load pattern.** Phases of some ten seconds ask now for long answers, now for long prompts, with
-//! waves of a few seconds on both, while engines are lost. **Without it** streams queue for seconds at
-//! the engines that write, while most of those that read are empty, or the other way round, however the
-//! pool was split at first. **How.** What both parts need is known before it hurts: streams last for
-//! seconds, so their number rises ahead of the queue; prompts are counted as they are asked for. Only
-//! engines that their part can spare are moved, so a move costs nothing but its order; where both parts
-//! are short, they are so alike.
+//! **Load pattern.** Phases of some ten seconds ask now for long output, now for long prompts, with
+//! waves of a few seconds on both, while engines fail. **Without this**, streams queue for seconds
+//! at the decode engines while most prefill engines are idle, or the other way round, however the
+//! pool was split at first. **Approach.** The need of both roles is known before it causes delays:
+//! streams last for seconds, so their number rises ahead of the queue, and prompts are counted as
+//! they arrive. Only engines that their role can spare are moved, so a move costs nothing but its
+//! order. Where both roles are short, both are left equally short.
 
 use crate::number::{count, float};
 
 /// Settings of the balance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// How busy engines that read may be on average: prompts are lumps, and wait for each other.
-    pub reading: f64,
-    /// How busy engines that write may be on average: streams share them.
-    pub writing: f64,
-    /// How much a stream that waits for a place counts against one that has one.
-    pub waiting: f64,
-    /// By how many engines a part has to be short.
-    pub slack: f64,
-    /// The same as a part of all engines.
-    pub slack_share: f64,
+    /// Highest mean utilization of prefill engines. Prompts are large units of work and wait for
+    /// each other, so this is far below 1.
+    pub prefill_utilization: f64,
+    /// Highest mean utilization of decode engines, which streams share.
+    pub decode_utilization: f64,
+    /// Weight of a stream that waits for a decode slot, relative to one that has a slot.
+    pub queued_stream_weight: f64,
+    /// How many engines a role has to be short of before any change.
+    pub min_shortage: f64,
+    /// The same as a share of all engines; the larger of both applies.
+    pub min_shortage_share: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { reading: 0.5, writing: 0.95, waiting: 0.5, slack: 1.0, slack_share: 0.06 }
+        Self {
+            prefill_utilization: 0.5,
+            decode_utilization: 0.95,
+            queued_stream_weight: 0.5,
+            min_shortage: 1.0,
+            min_shortage_share: 0.06,
+        }
     }
 }
 
-/// Engines that the load keeps busy from now on until a change would take effect.
+/// Number of engines that the load keeps busy from now until a change would take effect.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProjectedLoad {
-    /// Engines that read.
+    /// Busy prefill engines.
     pub prefill: f64,
-    /// Engines that write.
+    /// Busy decode engines.
     pub decode: f64,
 }
 
-/// How many engines there are, those that are about to change counted as what they will be.
+/// Number of engines by role. Engines that are about to change count with their new role.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pool {
-    /// Engines that read.
+    /// Prefill engines.
     pub prefill: usize,
-    /// Engines that write.
+    /// Decode engines.
     pub decode: usize,
 }
 
-/// How many engines should read, if one part is short of them and that can be mended.
+/// Returns how many engines should prefill, if one role is short of engines and the other can help.
 pub fn rebalance(settings: &Settings, load: &ProjectedLoad, pool: Pool) -> Option<usize> {
-    let (readers, writers) = (engines(pool.prefill), engines(pool.decode));
-    // Streams that wait for a place are there only until more engines write.
-    let waiting = (load.decode - writers).max(0.0) * settings.waiting;
-    let writing = load.decode.min(writers) + waiting;
-    let (read, write) = (load.prefill / settings.reading, writing / settings.writing);
-    let slack = settings.slack.max((readers + writers) * settings.slack_share);
-    let (short_reads, short_writes) = (read - readers, write - writers);
-    let wanted = if short_reads > 0.0 && short_writes > 0.0 {
-        (readers + writers) * read / (read + write)
-    } else if short_writes > slack {
-        readers - short_writes.min(readers - read)
-    } else if short_reads > slack {
-        readers + short_reads.min(writers - write)
+    let (prefill, decode) = (engines(pool.prefill), engines(pool.decode));
+    // Streams that wait for a slot do so only until more engines decode.
+    let queued = (load.decode - decode).max(0.0) * settings.queued_stream_weight;
+    let busy_decode = load.decode.min(decode) + queued;
+    let (needed_prefill, needed_decode) =
+        (load.prefill / settings.prefill_utilization, busy_decode / settings.decode_utilization);
+    let min_shortage = settings.min_shortage.max((prefill + decode) * settings.min_shortage_share);
+    let (short_prefill, short_decode) = (needed_prefill - prefill, needed_decode - decode);
+    let desired = if short_prefill > 0.0 && short_decode > 0.0 {
+        (prefill + decode) * needed_prefill / (needed_prefill + needed_decode)
+    } else if short_decode > min_shortage {
+        prefill - short_decode.min(prefill - needed_prefill)
+    } else if short_prefill > min_shortage {
+        prefill + short_prefill.min(decode - needed_decode)
     } else {
         return None;
     };
-    let wanted = usize::try_from(count(wanted)).ok()?;
-    let moved = engines(wanted.abs_diff(pool.prefill));
-    (moved >= slack).then_some(wanted)
+    let desired = usize::try_from(count(desired)).ok()?;
+    let moved = engines(desired.abs_diff(pool.prefill));
+    (moved >= min_shortage).then_some(desired)
 }
 
-/// How many engines should read once no part is short, if `lent` of those that write did read before: as
-/// many of them come back as the other part can do without.
+/// Returns how many engines should prefill once no role is short, if `lent` of the decode engines
+/// were prefill engines before. As many of them change back as the decode role can spare.
 pub fn restore(
     settings: &Settings,
     load: &ProjectedLoad,
@@ -81,17 +90,17 @@
     lent: usize,
 ) -> Option<usize> {
     let all = pool.prefill + pool.decode;
-    let slack = settings.slack.max(engines(all) * settings.slack_share);
-    let least = (load.decode / settings.writing).ceil();
-    let spare = usize::try_from(count(engines(pool.decode) - least)).ok()?;
-    let wanted = pool.prefill + spare.min(lent);
-    (engines(wanted) - engines(pool.prefill) >= slack).then_some(wanted)
+    let min_shortage = settings.min_shortage.max(engines(all) * settings.min_shortage_share);
+    let needed_decode = (load.decode / settings.decode_utilization).ceil();
+    let spare = usize::try_from(count(engines(pool.decode) - needed_decode)).ok()?;
+    let desired = pool.prefill + spare.min(lent);
+    (engines(desired) - engines(pool.prefill) >= min_shortage).then_some(desired)
 }
 
-/// Whether neither part is short in a pool.
+/// Returns whether the pool has enough engines of both roles for the load.
 pub fn is_sufficient(settings: &Settings, load: &ProjectedLoad, pool: Pool) -> bool {
-    load.prefill <= engines(pool.prefill) * settings.reading
-        && load.decode <= engines(pool.decode) * settings.writing
+    load.prefill <= engines(pool.prefill) * settings.prefill_utilization
+        && load.decode <= engines(pool.decode) * settings.decode_utilization
 }
 
 fn engines(count: usize) -> f64 {
--- a/crates/policy/src/binding.rs
+++ b/crates/policy/src/binding.rs
@@ -1,59 +1,63 @@
-//! Where a request is bound to one of its candidate targets, and when.
+//! Late binding: decides at which of its candidate targets a request runs, and when that is
+//! decided.
 //!
 //! **Load pattern.** Output lengths are unknown, so two queues that look alike may differ by
-//! minutes. **Without it** a request waits behind a long answer at the queue it was sent to, while
-//! its other candidate stands idle. **How.** After Sanders, "Asynchronous Scheduling of Redundant
-//! Disk Arrays": a request is offered to two targets, and the decision is put off until one of
-//! them would start it. The first that would start it claims it at the entry with one message; the
-//! other drops it. If a target dies that holds an offer, the other still has it. **Figures.**
-//! `docs/DECISIONS.md` compares the ways on the same arrivals: [`LazyQueue`] has the shortest tail
-//! where lengths differ as much as outputs do, [`LazySharing`] the shortest mean.
+//! minutes. **Without this**, a request waits behind a long response in the queue it was sent to
+//! while its other candidate is idle. **Approach.** After Sanders, "Asynchronous Scheduling of
+//! Redundant Disk Arrays": a request is offered to two targets and bound only when one of them
+//! could start it. The first such target claims it at the entry with one message, and the other
+//! drops it. If a target with an offer fails, the other still has the offer. **Figures.**
+//! `docs/DECISIONS.md` compares the policies on the same arrivals: [`LazyQueue`] has the shortest
+//! tail where lengths differ as much as outputs do, [`LazySharing`] the shortest mean.
 
 use crate::number::float;
 
-/// What a candidate's queue looks like when a request comes.
+/// State of a candidate's queue when a request arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct QueueState {
-    /// Requests that wait or run there and are bound to it.
+    /// Requests bound to this target, waiting or running.
     pub bound: usize,
-    /// All requests that wait there, bound to it or only offered.
+    /// All requests waiting there, bound to it or only offered.
     pub offered: usize,
-    /// Whether it could start a request now.
+    /// Whether the target could start a request now.
     pub idle: bool,
 }
 
-/// A request in a queue, as the policy sees it when the target can start one.
+/// A request in a target's queue when the target can start one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Offer {
-    /// Whether it is bound to this target.
+    /// Whether the request is bound to this target.
     pub bound: bool,
-    /// How many requests wait at its other candidate; 0 if it has none.
+    /// Queue length at its other candidate; 0 if it has none.
     pub elsewhere: usize,
-    /// Whether it is the first in the queue at its other candidate.
+    /// Whether it is first in the queue of its other candidate.
     pub first_elsewhere: bool,
 }
 
 /// Where a request waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Placement {
-    /// It is bound to the candidate with this index; the other may steal it if the policy does so.
+    /// It is bound to the candidate with this index. With [`Stealing`], the other may still take
+    /// it.
     Bound(usize),
-    /// It waits at all candidates and is bound to none.
+    /// It waits in the queues of all candidates and is bound to none.
     Offered,
 }
 
-/// A way of binding.
+/// A binding policy.
 pub trait Binding: Send + Sync {
-    /// The way's name in settings and tables.
+    /// Returns the name of the policy in settings and tables.
     fn name(&self) -> &'static str;
 
-    /// Where a new request waits, none of whose candidates could start it at once.
+    /// Decides where a new request waits if none of its candidates could start it at once.
     fn place(&self, candidates: &[QueueState]) -> Placement;
 
-    /// Which of the requests in its queue, oldest first, a target starts when it can.
+    /// Returns the index of the request that a target with a free slot starts; `queue` is ordered
+    /// by age, oldest first.
     fn next(&self, queue: &[Offer]) -> Option<usize>;
 
-    /// Whether candidates hear of requests that are bound elsewhere, which costs a message each.
+    /// Returns whether a request is announced to all its candidates, also if it is bound to one of
+    /// them. Each announcement costs a message.
     fn notifies_all(&self) -> bool;
 }
 
@@ -61,15 +65,16 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ShortestQueue;
 
-/// Binds like [`ShortestQueue`]; a target with nothing of its own takes the other's oldest.
+/// Binds like [`ShortestQueue`], but a target without requests of its own takes the oldest request
+/// that is bound to another.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Stealing;
 
-/// Binds when a target starts the request; each takes its oldest.
+/// Binds when a target starts the request; each target starts its oldest offer.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LazyQueue;
 
-/// Like [`LazyQueue`], but leaves a request to its other candidate if that has less to do.
+/// Like [`LazyQueue`], but leaves a request to its other candidate if that has a shorter queue.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct LazySharing;
 
@@ -143,8 +148,9 @@
         Placement::Offered
     }
 
-    /// The first request for which fewer wait after it here than wait at its other candidate. The
-    /// search ends early at one that is not first elsewhere, so that none is passed over for long.
+    /// Returns the first request that has fewer requests behind it here than wait at its other
+    /// candidate. The search stops early at a request that is not first in its other queue, so that
+    /// none is passed over for long.
     fn next(&self, queue: &[Offer]) -> Option<usize> {
         let waiting = queue.len();
         let share = |(index, offer): (usize, &Offer)| {
@@ -159,21 +165,21 @@
     }
 }
 
-/// The way in force: the shortest tail, and it needs to know nothing of other queues.
+/// Returns the policy in use: it has the shortest tail and needs no knowledge of other queues.
 pub fn default_binding() -> Box<dyn Binding> {
     Box::new(LazyQueue)
 }
 
-/// All ways, for comparison.
+/// Returns all policies, for comparison.
 pub fn all() -> Vec<Box<dyn Binding>> {
     vec![Box::new(ShortestQueue), Box::new(Stealing), Box::new(LazyQueue), Box::new(LazySharing)]
 }
 
-/// Candidates that a request is offered to. The second makes almost all the difference.
+/// Number of targets a request is offered to. The second brings almost all of the benefit.
 pub const CANDIDATES: usize = 2;
 
-/// Messages that one request costs with `candidates`, beside its answer: an offer to each, one
-/// claim and its grant, and one withdrawal at each that lost.
+/// Returns the number of messages per request, besides its response. With late binding these are an
+/// offer to each candidate, one claim and its grant, and a withdrawal at each other candidate.
 pub fn messages(late: bool, candidates: usize) -> f64 {
     let candidates = float(u64::try_from(candidates).unwrap_or(u64::MAX));
     if late && candidates > 1.0 { candidates + 2.0 + (candidates - 1.0) } else { 1.0 }
