--- a/crates/policy/src/prefill.rs
+++ b/crates/policy/src/prefill.rs
@@ -1,50 +1,51 @@
-//! Which engine reads a prompt, and whether it is read at all.
-//!
-//! **Load pattern.** Hundreds of long prompts a second share their first parts with others; bursts
-//! of seconds ask for several times what all engines can read, and the first token is wanted
-//! within a few times what one prompt takes. **Without it** (least work) each shared part is read
-//! by every engine and pushes others out, and in a burst all prompts wait, so all are late.
-//! **How.** Rendezvous hashing of the longest shared start gives each prompt a home, where that
-//! start is probably kept; a home with too much to read passes it to the next in the order of the
-//! hashes that has not. Whichever engine reads copies what it lacks from the one that keeps most
-//! of the start. An engine has too much if what waits would leave too little of the
-//! objective; a prompt that fits nowhere is refused at once and told when to come back.
+//! Decides which engine prefills a prompt, and whether it is prefilled at all.
 //!
+//! **Load pattern.** Hundreds of long prompts per second share prefixes with others. Bursts of
+//! seconds ask for several times what all engines can prefill, and the first token is due within a
+//! few times the duration of one prefill. **Without this** (least work), each shared prefix is
+//! computed by every engine and evicts others, and in a burst all prompts wait, so all are late.
+//! **Approach.** Rendezvous hashing of the longest shared prefix gives each prompt a home engine,
+//! where that prefix is probably cached. A home with too much queued work passes the prompt to the
+//! next engine in hash order that has less. Whichever engine prefills copies the missing part of
+//! the prefix from the engine that has most of it cached. An engine has too much queued if the
+//! queue would leave too little of the objective. A prompt that fits nowhere is refused at once
+//! with the time after which to retry.
 
 use crate::number::{float, span};
 use crate::{Hash, mix};
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// Settings of the choice.
+/// Settings of prefill placement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Tokens that an engine reads in a second, before it has been measured.
+    /// Prompt tokens per second that an engine prefills, until its rate has been learned.
     pub prefill_rate: f64,
-    /// The time that reading has to leave of the objective: for the way there, for what other
-    /// entries send at the same time, and for the first step of the output. It is the same where
-    /// objectives are 150 ms and where they are 500: half of the objective, which left 75 ms of the
-    /// one and 250 ms of the other, refused there what could have been in time.
+    /// Time of the objective that prefill has to leave for the network, for what other entries send
+    /// at the same time, and for the first step of the output. It is the same for objectives of 150
+    /// ms and of 500 ms: half of the objective, which left 75 ms of the one and 250 ms of the
+    /// other, refused prompts of the latter that could have been in time.
     pub reserve: Duration,
-    /// The share of the objective that reading may take at least, however short it is.
-    pub least_share: f64,
-    /// The part of this time for a prompt whose objective has passed, because its caller was refused
-    /// and came back. Under overload each of these takes the place of one that can still be in time.
+    /// Share of the objective that prefill may always take, however short the objective is.
+    pub min_share: f64,
+    /// Share of the allowed time for a prompt whose objective has passed because its caller was
+    /// refused and retried. Under overload each of these displaces one that can still be in time.
     pub late_fraction: f64,
-    /// The share of the time they have left after which refused callers come back at the latest.
-    pub honoured: f64,
-    /// A prompt with no more tokens to read is short: it takes 3 ms.
-    pub short: u64,
-    /// What an engine that also writes output reads, as a part of what one that only reads does.
-    pub writer_share: f64,
-    /// An engine that writes reads a prompt for itself while streams fill no more than this share
-    /// of its slots.
-    pub writer_filled: f64,
-    /// It also does when they fill more, if reading takes no longer than this: its streams pause for so
-    /// long in all, and go on between the pieces of the prompt.
+    /// Latest time at which refused callers are asked to retry, as a share of the time that they
+    /// still wait.
+    pub max_retry_share: f64,
+    /// Tokens to prefill up to which a prompt is short: it takes 3 ms.
+    pub short_tokens: u64,
+    /// Prefill rate of an engine that also decodes, relative to one that only prefills.
+    pub decode_rate_share: f64,
+    /// Share of its slots in use up to which a decode engine prefills a prompt for itself.
+    pub decode_max_usage: f64,
+    /// With more slots in use, a decode engine still prefills a prompt if that takes no longer than
+    /// this. Its streams pause for that time in total and continue between the chunks of the
+    /// prompt.
     pub decode_pause: Duration,
-    /// A start is copied if that saves reading so many tokens. Copying a token takes a tenth of
-    /// reading it, and setting a copy up as long as reading some hundred.
+    /// A prefix is copied if that saves prefilling this many tokens. Copying a token takes a tenth
+    /// of the time of prefilling it, and setting up a copy as long as prefilling some hundred.
     pub min_copy_tokens: u64,
 }
 
@@ -53,280 +54,293 @@
         Self {
             prefill_rate: 300_000.0,
             reserve: Duration::from_millis(75),
-            least_share: 0.3,
+            min_share: 0.3,
             late_fraction: 0.6,
-            honoured: 1.0 / 3.0,
-            short: 1_000,
-            writer_share: 0.5,
-            writer_filled: 0.125,
+            max_retry_share: 1.0 / 3.0,
+            short_tokens: 1_000,
+            decode_rate_share: 0.5,
+            decode_max_usage: 0.125,
             decode_pause: Duration::ZERO,
             min_copy_tokens: 512,
         }
     }
 }
 
-/// An engine that could read a prompt.
+/// An engine that could prefill a prompt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrefillCandidate {
     /// The hash of its name.
     pub key: Hash,
-    /// Whether it also writes output, and so reads at a lower rate.
+    /// Whether it also decodes output, and so prefills at a lower rate.
     pub decodes: bool,
-    /// Tokens that wait to be read there, as far as this entry knows.
+    /// Tokens queued for prefill there, as far as this entry knows.
     pub queued_tokens: u64,
-    /// Tokens at the prompt's start that it keeps.
+    /// Tokens of the prompt's prefix that it has cached.
     pub cached_tokens: u64,
-    /// The share of its slots that streams fill.
+    /// Share of its slots that streams use.
     pub slot_usage: f64,
-    /// How much longer than usual it takes to hand KV cache over.
+    /// How much longer than usual its KV cache transfers take.
     pub transfer_excess: Duration,
-    /// The hash of its failure domain: copies within one take half as long.
+    /// The hash of its failure domain. Copies within a failure domain take half as long.
     pub domain: Hash,
 }
 
 /// A prompt to be placed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prompt {
-    /// The hash of its longest shared start; prompts with equal ones have the same home.
+    /// The hash of its longest shared prefix. Prompts with equal hashes have the same home.
     pub prefix_hash: Hash,
-    /// All its tokens.
+    /// Total number of tokens.
     pub tokens: u64,
-    /// Within which time its first token is wanted.
+    /// Time within which its first token is due.
     pub objective: Duration,
-    /// Whether that time has passed already.
+    /// Whether that time has already passed, because the request is a retry.
     pub late: bool,
 }
 
 /// Where a prompt goes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Placement {
-    /// It is read by the engine with this index.
+    /// It is prefilled by the engine with this index.
     Prefill {
-        /// The engine.
+        /// The index of the engine.
         at: usize,
-        /// The engine from which it first copies the shared start.
+        /// The index of the engine from which it first copies the shared prefix.
         copy_from: Option<usize>,
-        /// Tokens that are to be read.
+        /// Tokens to prefill.
         tokens: u64,
     },
-    /// No engine can read it in time; one can begin it after this time.
+    /// No engine can prefill it in time. One can start it after this time.
     Full(Duration),
 }
 
-/// How urgent reading a prompt of `tokens` tokens is to the engine, for a request of this rank: 0
-/// goes first, 9 last.
+/// Returns the priority at the engine of prefilling `tokens` tokens for a request of priority
+/// `request`: 0 goes first, 9 last.
 ///
-/// Short ones go before all others, whatever their rank: they take less than 3 ms, and behind the
-/// queue of the long ones they would miss their objective.
-pub fn priority(settings: &Settings, tokens: u64, rank: u8) -> u8 {
-    if tokens <= settings.short { 0 } else { rank.saturating_add(1).min(LEAST_URGENT) }
+/// Short prompts go before all others, whatever the priority of the request: they take less than
+/// 3 ms, and behind the queue of long ones they would miss their objective.
+pub fn priority(settings: &Settings, tokens: u64, request: u8) -> u8 {
+    if tokens <= settings.short_tokens { 0 } else { request.saturating_add(1).min(LOWEST_PRIORITY) }
 }
 
-/// The lowest urgency that engines know.
-const LEAST_URGENT: u8 = 9;
+/// The lowest priority that engines accept.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// Places a prompt, for an entry that knows of the work of one in `unheard` entries.
+/// Places a prompt, for an entry that knows the work of one in `load_scale` entries.
 pub fn place(
     settings: &Settings,
     prompt: &Prompt,
-    readers: &[PrefillCandidate],
-    unheard: impl Into<f64>,
+    candidates: &[PrefillCandidate],
+    load_scale: impl Into<f64>,
 ) -> Placement {
-    place_among(settings, prompt, readers, readers.len(), unheard)
+    place_among(settings, prompt, candidates, candidates.len(), load_scale)
 }
 
-/// Places a prompt at one of the first `able` engines: the others only keep what can be copied.
+/// Places a prompt at one of the first `eligible` candidates. The others only serve as sources of
+/// copies.
 pub fn place_among(
     settings: &Settings,
     prompt: &Prompt,
-    readers: &[PrefillCandidate],
-    able: usize,
-    unheard: impl Into<f64>,
+    candidates: &[PrefillCandidate],
+    eligible: usize,
+    load_scale: impl Into<f64>,
 ) -> Placement {
-    let order = order(prompt, &readers[..able.min(readers.len())]);
+    let order = order(prompt, &candidates[..eligible.min(candidates.len())]);
     if order.is_empty() {
         return Placement::Full(prompt.objective);
     }
-    let most = max_duration(settings, prompt).as_secs_f64() / unheard.into().max(1.0);
-    // Few engines keep any of a prompt; asked for each of 700 readers, all would take a millisecond.
-    let holders: Vec<usize> =
-        (0..readers.len()).filter(|&at| readers[at].cached_tokens > 0).collect();
+    let max = max_duration(settings, prompt).as_secs_f64() / load_scale.into().max(1.0);
+    // Few engines have any of a prompt cached. Comparing all 700 candidates with all others would
+    // take a millisecond.
+    let sources: Vec<usize> =
+        (0..candidates.len()).filter(|&at| candidates[at].cached_tokens > 0).collect();
     let mut soonest = f64::INFINITY;
     for at in order {
-        let reader = &readers[at];
-        let copy_from = source(settings, readers, &holders, at);
-        let kept = copy_from.map_or(reader.cached_tokens, |from| readers[from].cached_tokens);
-        let tokens = unread(prompt, kept);
-        if fits(settings, reader, tokens, most) {
+        let candidate = &candidates[at];
+        let copy_from = copy_source(settings, candidates, &sources, at);
+        let cached =
+            copy_from.map_or(candidate.cached_tokens, |from| candidates[from].cached_tokens);
+        let tokens = uncached(prompt, cached);
+        if fits(settings, candidate, tokens, max) {
             return Placement::Prefill { at, copy_from, tokens };
         }
-        soonest = soonest.min(wait(settings, reader, 0));
+        soonest = soonest.min(wait(settings, candidate, 0));
     }
-    Placement::Full(span((soonest - most).max(most)))
+    Placement::Full(span((soonest - max).max(max)))
 }
 
-/// How long reading may take, what waits before it included.
+/// Returns how long prefill may take, including the wait for prompts queued before it.
 pub fn max_duration(settings: &Settings, prompt: &Prompt) -> Duration {
     let left = prompt.objective.saturating_sub(settings.reserve);
-    let most = left.max(prompt.objective.mul_f64(settings.least_share));
-    if prompt.late { most.mul_f64(settings.late_fraction) } else { most }
+    let max = left.max(prompt.objective.mul_f64(settings.min_share));
+    if prompt.late { max.mul_f64(settings.late_fraction) } else { max }
 }
 
-/// The readers in the order in which they are tried: by rendezvous hashing, those that only read
-/// first. All entries have the same order for prompts with the same start and other orders for
-/// other prompts: if each took the reader with the least to read, all would take the same one until
-/// they heard of each other.
-fn order(prompt: &Prompt, readers: &[PrefillCandidate]) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..readers.len()).collect();
+/// Returns the order in which candidates are tried: by rendezvous hashing, engines that only
+/// prefill first. All entries use the same order for prompts with the same prefix and other orders
+/// for other prompts. If each entry chose the engine with the shortest queue, all would choose the
+/// same one until they learn of each other's prompts.
+fn order(prompt: &Prompt, candidates: &[PrefillCandidate]) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..candidates.len()).collect();
     order.sort_by_key(|&at| {
-        (readers[at].decodes, Reverse(mix(readers[at].key, prompt.prefix_hash)))
+        (candidates[at].decodes, Reverse(mix(candidates[at].key, prompt.prefix_hash)))
     });
     order
 }
 
-/// The engine from which the one at `to` copies the prompt's start: of the holders the one that keeps
-/// most, if that is enough more. Of several, one in the same failure domain.
-fn source(
+/// Returns the engine from which the one at `to` copies the prompt's prefix: of the sources the one
+/// with the most cached tokens, if a copy is worth it. Among equals, one in the same failure
+/// domain.
+fn copy_source(
     settings: &Settings,
-    engines: &[PrefillCandidate],
-    holders: &[usize],
+    candidates: &[PrefillCandidate],
+    sources: &[usize],
     to: usize,
 ) -> Option<usize> {
-    let reader = &engines[to];
-    let others = holders.iter().copied();
-    let others = others.filter(|&from| from != to && copies_pay(settings, reader, &engines[from]));
+    let destination = &candidates[to];
+    let others = sources.iter().copied();
+    let others = others
+        .filter(|&from| from != to && is_worth_copying(settings, destination, &candidates[from]));
     others.max_by_key(|&from| {
-        let engine = &engines[from];
-        (engine.cached_tokens, engine.domain == reader.domain, mix(engine.key, reader.key))
+        let source = &candidates[from];
+        (
+            source.cached_tokens,
+            source.domain == destination.domain,
+            mix(source.key, destination.key),
+        )
     })
 }
 
-/// Whether copying is worth it: it saves enough reading, also if the holder's link is slow.
-fn copies_pay(settings: &Settings, to: &PrefillCandidate, from: &PrefillCandidate) -> bool {
+/// Returns whether a copy saves enough prefill, also if the link of the source is slow.
+fn is_worth_copying(settings: &Settings, to: &PrefillCandidate, from: &PrefillCandidate) -> bool {
     let saved = from.cached_tokens.saturating_sub(to.cached_tokens);
     saved >= settings.min_copy_tokens
         && float(saved) / settings.prefill_rate > from.transfer_excess.as_secs_f64()
 }
 
-fn unread(prompt: &Prompt, kept: u64) -> u64 {
-    prompt.tokens - kept.min(prompt.tokens)
+fn uncached(prompt: &Prompt, cached: u64) -> u64 {
+    prompt.tokens - cached.min(prompt.tokens)
 }
 
-/// The seconds until a reader has read what waits there and `tokens` more and handed it over.
-fn wait(settings: &Settings, reader: &PrefillCandidate, tokens: u64) -> f64 {
-    let part = if reader.decodes { settings.writer_share } else { 1.0 };
-    float(reader.queued_tokens + tokens) / (settings.prefill_rate * part)
-        + reader.transfer_excess.as_secs_f64()
+/// Returns the seconds until an engine has computed its queue and `tokens` more and transferred the
+/// KV cache.
+fn wait(settings: &Settings, candidate: &PrefillCandidate, tokens: u64) -> f64 {
+    let share = if candidate.decodes { settings.decode_rate_share } else { 1.0 };
+    float(candidate.queued_tokens + tokens) / (settings.prefill_rate * share)
+        + candidate.transfer_excess.as_secs_f64()
 }
 
-fn fits(settings: &Settings, reader: &PrefillCandidate, tokens: u64, most: f64) -> bool {
-    let idle = reader.queued_tokens == 0 && reader.transfer_excess.as_secs_f64() < most;
-    if reader.decodes {
-        // Each step of its output waits for a piece of what it reads, and the first token of what is
-        // handed over to it for all: it takes only what fits, while it reads nothing else.
-        let takes = wait(settings, reader, tokens);
-        let few = reader.slot_usage <= settings.writer_filled;
-        let short =
-            reader.slot_usage <= MOST_FILLED && takes <= settings.decode_pause.as_secs_f64();
-        return idle && (few || short) && takes <= most;
+fn fits(settings: &Settings, candidate: &PrefillCandidate, tokens: u64, max: f64) -> bool {
+    let idle = candidate.queued_tokens == 0 && candidate.transfer_excess.as_secs_f64() < max;
+    if candidate.decodes {
+        // Each decode step waits for a chunk of the prompt, and the first token of each transferred
+        // prompt for all of it. So a decode engine takes only what fits, and one prompt at a time.
+        let duration = wait(settings, candidate, tokens);
+        let few = candidate.slot_usage <= settings.decode_max_usage;
+        let short = candidate.slot_usage <= MAX_SLOT_USAGE
+            && duration <= settings.decode_pause.as_secs_f64();
+        return idle && (few || short) && duration <= max;
     }
-    // An idle reader takes a prompt of any size: nothing is gained by leaving it idle.
-    idle || wait(settings, reader, tokens) <= most
+    // An idle prefill engine takes a prompt of any size: leaving it idle gains nothing.
+    idle || wait(settings, candidate, tokens) <= max
 }
 
-/// An engine whose streams fill more of its slots has no place to write a prompt that it reads.
-const MOST_FILLED: f64 = 0.9;
+/// Slot usage above which a decode engine has no slot for the output of a prompt that it prefills.
+const MAX_SLOT_USAGE: f64 = 0.9;
 
-/// Callers are sent away for no longer than this, however long they would wait: bursts last some
-/// seconds, and what is free before is worth more than a place that is sure.
-const MOST_BACK: Duration = Duration::from_secs(1);
+/// Longest time after which callers are asked to retry, however long they would wait. Bursts last
+/// some seconds, and capacity that is free earlier is worth more than a certain place later.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// When the caller of a prompt that was refused should come back, if an engine can begin it after
-/// `soonest` and the caller waits for another `left`; `random` is between 0 and 1.
+/// Returns the time after which the caller of a refused prompt should retry, if an engine can start
+/// the prompt after `soonest` and the caller waits for another `left`. `random` is between 0 and 1.
 ///
-/// **Load pattern.** A burst of seconds, in which hundreds of callers a second are refused and may
-/// come back once. **Without it** they come back after the time of one queue, in the middle of the
-/// same burst, and are refused for good. **How.** Their objective has passed by then in any case,
-/// so they come back late, spread over the second half of the time that they honour.
+/// **Load pattern.** In a burst of seconds, hundreds of callers per second are refused and may
+/// retry once. **Without this**, they retry after the duration of one queue, in the middle of the
+/// same burst, and are refused for good. **Approach.** Their objective has passed by then in any
+/// case, so they retry late, spread over the second half of the longest time that they may be asked
+/// to wait.
 pub fn retry_after(
     settings: &Settings,
     soonest: Duration,
     left: Duration,
     random: f64,
 ) -> Duration {
-    let most = left.mul_f64(settings.honoured).min(MOST_BACK);
-    soonest.max(most.mul_f64(0.5 + 0.5 * random)).min(most)
+    let max = left.mul_f64(settings.max_retry_share).min(MAX_RETRY_AFTER);
+    soonest.max(max.mul_f64(0.5 + 0.5 * random)).min(max)
 }
 
-/// How fast the engines of a service read, learnt from prompts that were read.
+/// Prefill rate of the engines of a service, learned from the duration of prefills.
 ///
-/// It follows the median of the samples by steps: a sample is wrong by a factor when the engine kept
-/// more or less of a prompt than was believed, and the median ignores by how much. The first steps
-/// are large, and shrink when a sample goes the other way: a first belief that is wrong by five is
-/// right after some ten prompts, and then none moves it by much.
+/// It follows the median of the samples in steps: a sample is off by some factor when the engine
+/// had more or less of a prompt cached than assumed, and the median ignores by how much. The first
+/// steps are large, and steps shrink when a sample points the other way: an initial value that is
+/// wrong by a factor of five is corrected after some ten prompts, and later samples change it
+/// little.
 #[derive(Debug, Clone, Copy)]
 pub struct PrefillRate {
     rate: f64,
     step: f64,
-    /// Whether the last sample was faster; none before the first.
+    /// Whether the last sample was faster; `None` before the first.
     faster: Option<bool>,
     samples: u32,
 }
 
-/// The factor of the first step.
+/// Factor of the first step.
 const FIRST_STEP: f64 = 1.4;
 
-/// The factor of the shortest step: from twice the rate it takes 35 prompts to the right one.
-const LEAST_STEP: f64 = 1.02;
+/// Factor of the smallest step: from twice the right rate it takes 35 prompts to converge.
+const MIN_STEP: f64 = 1.02;
 
-/// What a step becomes, as a part of its logarithm, when a sample goes the other way.
+/// What the logarithm of a step is multiplied by when a sample points the other way.
 const SHRINK: f64 = 0.6;
 
-/// Samples after which others may rely on the rate.
-const KNOWN: u32 = 12;
+/// Samples after which the rate is reliable.
+const MIN_SAMPLES: u32 = 12;
 
-/// Samples of fewer tokens say more about the way there and back than about reading.
-const LEAST_TOKENS: u64 = 3_000;
+/// Minimum tokens of a sample. The duration of shorter prefills is mostly network time.
+const MIN_SAMPLE_TOKENS: u64 = 3_000;
 
-/// The way there and back and the engine's own steps.
+/// Network round trip and the engine's own scheduling steps.
 const OVERHEAD: Duration = Duration::from_millis(5);
 
-/// The bounds of a believable rate, in tokens a second.
+/// Bounds of a plausible rate, in tokens per second.
 const BOUNDS: (f64, f64) = (10_000.0, 3_000_000.0);
 
 impl PrefillRate {
-    /// Begins with an assumed rate, in tokens a second.
+    /// Starts with an assumed rate, in tokens per second.
     pub fn new(assumed: f64) -> Self {
         Self { rate: assumed, step: FIRST_STEP.ln(), faster: None, samples: 0 }
     }
 
-    /// Begins with a rate that others have learnt.
+    /// Starts with a rate that another entry has learned.
     pub fn learned(rate: f64) -> Self {
-        Self { step: LEAST_STEP.ln(), samples: KNOWN, ..Self::new(rate) }
+        Self { step: MIN_STEP.ln(), samples: MIN_SAMPLES, ..Self::new(rate) }
     }
 
-    /// Takes in that `tokens`, what waited before a prompt included, were read in `took`.
-    pub fn sample(&mut self, tokens: u64, took: Duration) {
-        let reading = took.saturating_sub(OVERHEAD);
-        if tokens < LEAST_TOKENS || reading.is_zero() {
+    /// Records that `tokens`, including those queued before the prompt, were prefilled in
+    /// `duration`.
+    pub fn sample(&mut self, tokens: u64, duration: Duration) {
+        let prefill = duration.saturating_sub(OVERHEAD);
+        if tokens < MIN_SAMPLE_TOKENS || prefill.is_zero() {
             return;
         }
-        let faster = float(tokens) / reading.as_secs_f64() > self.rate;
+        let faster = float(tokens) / prefill.as_secs_f64() > self.rate;
         if self.faster.replace(faster).is_some_and(|before| before != faster) {
-            self.step = (self.step * SHRINK).max(LEAST_STEP.ln());
+            self.step = (self.step * SHRINK).max(MIN_STEP.ln());
         }
         let rate = self.rate * if faster { self.step.exp() } else { (-self.step).exp() };
         self.rate = rate.clamp(BOUNDS.0, BOUNDS.1);
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// Tokens a second.
+    /// Returns the rate in tokens per second.
     pub fn get(self) -> f64 {
         self.rate
     }
 
-    /// Whether it was learnt from enough prompts to rely on it.
+    /// Returns whether the rate was learned from enough prompts to be reliable.
     pub fn is_learned(self) -> bool {
-        self.samples >= KNOWN
+        self.samples >= MIN_SAMPLES
     }
 }
--- a/crates/policy/src/queue/discipline.rs
+++ b/crates/policy/src/queue/discipline.rs
@@ -1,40 +1,40 @@
-//! What the model needs of a queue, and first come, first served, for comparison.
+//! The interface of queues in the simulation, and a FIFO queue for comparison.
 
 use super::{Item, ItemId, Pushed, Queue};
 use crate::Time;
 use crate::estimate::Cost;
 use std::collections::VecDeque;
 
-/// An order of service.
+/// A queueing discipline.
 pub trait Discipline<T>: Send {
-    /// The order's name in tables.
+    /// Returns the name of the discipline in tables.
     fn name(&self) -> &'static str;
 
     /// Adds an item.
     fn push(&mut self, item: Item<T>, now: Time) -> Pushed<T>;
 
-    /// Hands out the item that starts now, if a slot is free.
+    /// Returns the item that starts now, if a slot is free.
     fn pop(&mut self, now: Time) -> Option<Item<T>>;
 
-    /// Changes how many requests may run side by side.
+    /// Sets how many requests may run concurrently.
     fn set_slots(&mut self, slots: u32);
 
-    /// Frees the slot of an item that was handed out.
+    /// Frees the slot of an item that was started.
     fn done(&mut self, id: ItemId);
 
-    /// Takes out an item that waits.
+    /// Removes a waiting item.
     fn remove(&mut self, id: ItemId) -> Option<Item<T>>;
 
-    /// Takes out all items that are too late to start.
+    /// Removes and returns all items whose deadline has passed.
     fn expire(&mut self, now: Time) -> Vec<Item<T>>;
 
-    /// The waiting work that would start before an item of this kind.
+    /// Returns the waiting work that would start before a new item of this caller and urgency.
     fn ahead(&self, caller: &str, urgent: bool) -> Cost;
 
-    /// Requests that wait and their work.
+    /// Returns the waiting work.
     fn backlog(&self) -> super::Backlog;
 
-    /// Requests that were handed out and are not done.
+    /// Returns how many items were started and are not done.
     fn running(&self) -> usize;
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// First come, first served, without bound and without deadlines.
+/// First come, first served, without a bound and without deadlines.
 #[derive(Debug)]
 pub struct Fifo<T> {
     slots: usize,
@@ -89,7 +89,7 @@
 }
 
 impl<T> Fifo<T> {
-    /// Makes an empty queue before `slots` slots.
+    /// Creates an empty queue in front of `slots` slots.
     pub fn new(slots: u32) -> Self {
         let slots = usize::try_from(slots).unwrap_or(usize::MAX);
         Self { slots, waiting: VecDeque::new(), running: Vec::new() }
--- a/crates/policy/src/roles.rs
+++ b/crates/policy/src/roles.rs
@@ -1,14 +1,15 @@
-//! Which engines change their role.
+//! Decides which engines change their role.
 //!
 //! **Load pattern.** The balance of prompt and output tokens swings within minutes, and no engine
-//! can be added. **Without it** the prefill engines stand idle while decode engines queue, or the
-//! other way round. **How.** Demand in prompt and output tokens a second is averaged fast and
-//! slowly. For each possible change the goodput of the pool with and without it is compared over
-//! a horizon; what is lost while the engine is out of service is taken off, and the change is
-//! ordered only if more is left than the operator's weight. An engine keeps a role for a minimum
-//! time, no stage of the work loses its last engine, few engines change at a time, of different
-//! failure domains, and nothing is ordered while a change is under way or reports are old.
-//! **Figures.** See [`Settings`] and the policies shipped in `policies/`.
+//! can be added. **Without this**, the prefill engines are idle while decode engines queue, or the
+//! other way round. **Approach.** Demand in prompt and output tokens per second is averaged with a
+//! short and a long time constant. For each possible change, the goodput of the pool with and
+//! without it is compared over a horizon. The loss while the engine is out of service is
+//! subtracted, and the change is ordered only if the remaining gain exceeds the operator's change
+//! cost. An engine keeps a role for a minimum time, no stage loses its last engine, few engines
+//! change at a time and those in different failure domains, and nothing is ordered while a change
+//! is in progress or reports are stale. **Figures.** See [`Settings`] and the policies shipped in
+//! `policies/`.
 
 mod capacity;
 
@@ -20,27 +21,28 @@
 use conf::resource::Role;
 use std::time::Duration;
 
-/// Settings of role changes. The first five are the operator's, from the Policy resource.
+/// Settings of role changes. The first five come from the operator's Policy resource.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Work, in output tokens, that one change must win beyond what it loses.
+    /// Work, in output tokens, that a change must gain beyond what it loses.
     pub change_cost: u64,
-    /// How far ahead the win is counted: a swing lasts minutes.
+    /// Time over which the gain is counted. A swing lasts minutes.
     pub horizon: Duration,
-    /// The minimum time in a role.
+    /// Minimum time in a role.
     pub dwell: Duration,
     /// How long an engine is out of service for a change.
     pub outage: Duration,
-    /// Changes at a time in one pool.
+    /// Concurrent changes in one pool.
     pub at_once: u32,
-    /// The time constant of the fast average: long enough that one large prompt moves nothing.
+    /// Time constant of the fast average: long enough that one large prompt changes nothing.
     pub fast: Duration,
-    /// The time constant of the slow average.
+    /// Time constant of the slow average.
     pub slow: Duration,
-    /// Reports older than this are not acted on.
+    /// Age from which reports are too old to act on.
     pub stale: Duration,
-    /// What reading a prompt beside outputs costs them, as a part of its own time. To be measured
-    /// for an engine; 0.3 follows from losing 15 % of the speed of both while 60 % go to reading.
+    /// What prefill concurrent with decode costs the decode streams, as a share of the prefill
+    /// time. It should be measured for the engine in use; 0.3 follows from a loss of 15 % of the
+    /// speed of both while prefill takes 60 % of the time.
     pub mixing: f64,
 }
 
@@ -73,47 +75,47 @@
     pub name: TargetId,
     /// The hash of its failure domain.
     pub domain: Hash,
-    /// Its role now.
+    /// Its current role.
     pub role: Role,
-    /// Whether a change was ordered and has no outcome yet.
+    /// Whether a change was ordered whose outcome is not known yet.
     pub changing: bool,
-    /// Whether it works: reachable, and neither joining nor leaving.
+    /// Whether it serves requests: it is reachable and neither joining nor leaving.
     pub usable: bool,
     /// Whether an operator fixed its role.
     pub pinned: bool,
-    /// When it last took on a role.
+    /// When it took on its current role.
     pub since: Time,
-    /// What it does in a second.
+    /// Its token rates.
     pub rates: Rates,
 }
 
-/// A change to order.
+/// A role change to order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
     /// The engine's name.
     pub target: TargetId,
-    /// Its role from now on.
+    /// Its new role.
     pub role: Role,
 }
 
-/// The weight of the slow average of demand: what the next minute is like if the fast one is a
-/// ripple. Measured at the swing: 0.1 to 0.2 save a third to a half of the changes that 0 makes at
-/// the same goodput, 0.4 follows too late.
+/// Weight of the slow average of demand, which predicts the next minute if the fast one is a
+/// ripple. In the swing scenario, 0.1 to 0.2 save a third to a half of the changes that 0 makes at
+/// the same goodput, and 0.4 follows too late.
 const SLOW_WEIGHT: f64 = 0.2;
 
-/// A way of giving engines their roles.
+/// Assigns roles to engines.
 pub trait Planner: Send {
-    /// The way's name in tables.
+    /// Returns the name of the planner in tables.
     fn name(&self) -> &'static str;
 
-    /// Takes in the demand, as it was at `now`.
+    /// Records the demand at `now`.
     fn observe(&mut self, demand: Demand, now: Time);
 
-    /// The changes to order now.
+    /// Returns the changes to order now.
     fn decide(&mut self, engines: &[Engine], now: Time) -> Vec<Change>;
 }
 
-/// Leaves all roles as they are, for comparison.
+/// Never changes a role, for comparison.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StaticRoles;
 
@@ -129,7 +131,7 @@
     }
 }
 
-/// Changes roles when that wins more than it costs.
+/// Changes roles when the gain exceeds the cost.
 #[derive(Debug)]
 pub struct RolePlanner {
     settings: Settings,
@@ -139,19 +141,19 @@
 }
 
 impl RolePlanner {
-    /// Makes a planner that has seen no demand.
+    /// Creates a planner that has observed no demand.
     pub fn new(settings: Settings) -> Self {
         Self { settings, fast: Demand::default(), slow: Demand::default(), observed: None }
     }
 
-    /// Takes on changed settings and keeps the averages.
+    /// Replaces the settings and keeps the averages.
     pub fn update_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
 
-    /// The best change allowed, with what it wins.
+    /// Returns the allowed change with the largest gain.
     fn best(&self, engines: &[Engine], ordered: &[Change], now: Time) -> Option<Change> {
-        let fleet = self.fleet(engines, ordered);
+        let capacity = self.capacity(engines, ordered);
         let mut best: Option<(f64, Change)> = None;
         for engine in engines.iter().filter(|engine| self.may_change(engine, now)) {
             if ordered.iter().any(|change| change.target == engine.name)
@@ -160,31 +162,32 @@
                 continue;
             }
             for role in [Role::Prefill, Role::Decode, Role::Mixed] {
-                let win = self.win(&fleet, engine, role);
-                let least = best.as_ref().map_or(float(self.settings.change_cost), |(win, _)| *win);
-                if win > least {
-                    best = Some((win, Change { target: engine.name.clone(), role }));
+                let gain = self.gain(&capacity, engine, role);
+                let min = best.as_ref().map_or(float(self.settings.change_cost), |(gain, _)| *gain);
+                if gain > min {
+                    best = Some((gain, Change { target: engine.name.clone(), role }));
                 }
             }
         }
         best.map(|(_, change)| change)
     }
 
-    /// The work that a change wins over the horizon, less what is lost while it is under way.
-    fn win(&self, fleet: &PoolCapacity, engine: &Engine, role: Role) -> f64 {
-        let out = fleet.without(engine.role, engine.rates);
-        let after = out.with(role, engine.rates);
-        if role == engine.role || !after.covers_all_stages() || !out.covers_all_stages() {
+    /// Returns the work that a change gains over the horizon, less what is lost while it is in
+    /// progress.
+    fn gain(&self, capacity: &PoolCapacity, engine: &Engine, role: Role) -> f64 {
+        let during = capacity.without(engine.role, engine.rates);
+        let after = during.with(role, engine.rates);
+        if role == engine.role || !after.covers_all_stages() || !during.covers_all_stages() {
             return 0.0;
         }
-        let goodput = |fleet: &PoolCapacity| {
-            let at = |demand| fleet.goodput(demand, self.settings.mixing);
+        let goodput = |capacity: &PoolCapacity| {
+            let at = |demand| capacity.goodput(demand, self.settings.mixing);
             at(&self.fast) * (1.0 - SLOW_WEIGHT) + at(&self.slow) * SLOW_WEIGHT
         };
         let outage = self.settings.outage.as_secs_f64();
         let rest = self.settings.horizon.saturating_sub(self.settings.outage).as_secs_f64();
-        let now = goodput(fleet);
-        (goodput(&after) - now) * rest - (now - goodput(&out)) * outage
+        let before = goodput(capacity);
+        (goodput(&after) - before) * rest - (before - goodput(&during)) * outage
     }
 
     fn may_change(&self, engine: &Engine, now: Time) -> bool {
@@ -192,16 +195,16 @@
         engine.usable && !engine.pinned && !engine.changing && dwelt
     }
 
-    fn fleet(&self, engines: &[Engine], ordered: &[Change]) -> PoolCapacity {
-        let working = engines.iter().filter(|engine| engine.usable && !engine.changing);
-        working.fold(PoolCapacity::default(), |fleet, engine| {
+    fn capacity(&self, engines: &[Engine], ordered: &[Change]) -> PoolCapacity {
+        let serving = engines.iter().filter(|engine| engine.usable && !engine.changing);
+        serving.fold(PoolCapacity::default(), |capacity, engine| {
             let change = ordered.iter().find(|change| change.target == engine.name);
-            fleet.with(change.map_or(engine.role, |change| change.role), engine.rates)
+            capacity.with(change.map_or(engine.role, |change| change.role), engine.rates)
         })
     }
 }
 
-/// Whether another engine of the same failure domain is changing.
+/// Returns whether an engine of the same failure domain is changing.
 fn is_domain_busy(engine: &Engine, engines: &[Engine], ordered: &[Change]) -> bool {
     let is_ordered = |name: &TargetId| ordered.iter().any(|change| change.target == *name);
     let busy = engines.iter().filter(|other| other.changing || is_ordered(&other.name));
--- a/crates/policy/src/roles/capacity.rs
+++ b/crates/policy/src/roles/capacity.rs
@@ -1,36 +1,36 @@
-//! What a pool of engines can do, by their roles.
+//! Capacity of a pool of engines, by role.
 
 use crate::estimate::{Cost, Rates};
 use crate::number::float;
 use conf::resource::Role;
 use std::time::Duration;
 
-/// Tokens a second that callers ask for.
+/// Rate of tokens that callers ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Demand {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub prompt: f64,
-    /// Output tokens a second.
+    /// Output tokens per second.
     pub output: f64,
 }
 
 impl Demand {
-    /// Moves an average toward a new value, as exponential forgetting does in this time.
-    pub(super) fn toward(&self, new: &Self, elapsed: f64, constant: Duration) -> Self {
-        let weight = 1.0 - (-elapsed / constant.as_secs_f64()).exp();
+    /// Moves an exponential average toward a new value, `elapsed` seconds after the last one.
+    pub(super) fn toward(&self, new: &Self, elapsed: f64, time_constant: Duration) -> Self {
+        let weight = 1.0 - (-elapsed / time_constant.as_secs_f64()).exp();
         Self {
             prompt: self.prompt + (new.prompt - self.prompt) * weight,
             output: self.output + (new.output - self.output) * weight,
         }
     }
 
-    /// The work of a second, in output tokens, as [`Cost::work`] counts it.
+    /// Returns the work per second, in output tokens, as [`Cost::work`] counts it.
     pub fn work(&self) -> f64 {
         self.prompt / float(Cost::PREFILL_PER_DECODE) + self.output
     }
 }
 
-/// The engines of each role, and the sums of their rates.
+/// Sums of the rates of the engines of each role.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct PoolCapacity {
     prefill: f64,
@@ -45,12 +45,12 @@
 }
 
 impl PoolCapacity {
-    /// The fleet with one more engine.
+    /// Returns the capacity with one more engine.
     pub fn with(self, role: Role, rates: Rates) -> Self {
         self.add(role, rates, 1.0)
     }
 
-    /// The fleet with one engine less.
+    /// Returns the capacity with one engine less.
     pub fn without(self, role: Role, rates: Rates) -> Self {
         self.add(role, rates, -1.0)
     }
@@ -67,16 +67,17 @@
         self
     }
 
-    /// Whether some engine does each stage of the work.
+    /// Returns whether some engine serves each stage.
     pub fn covers_all_stages(&self) -> bool {
         let mixed = self.mixed.decode;
         self.prefill + mixed > 0.5 && self.decode + mixed > 0.5
     }
 
-    /// The work served a second of this demand: the largest part of it, at the same balance of
-    /// prompt and output, for which mixed engines can make up what the others lack.
+    /// Returns the work served per second under this demand: the largest share of it, at the same
+    /// balance of prompt and output, for which mixed engines make up what the others lack.
     ///
-    /// `mixing` is what reading a prompt beside outputs costs them, as a part of its own time.
+    /// `mixing` is what prefill concurrent with decode costs the decode streams, as a share of the
+    /// prefill time.
     pub fn goodput(&self, demand: &Demand, mixing: f64) -> f64 {
         const STEPS: u32 = 30;
         let (mut low, mut high) = (0.0, 1.0);
@@ -84,24 +85,24 @@
             return demand.work();
         }
         for _ in 0..STEPS {
-            let part = (low + high) / 2.0;
-            if self.fits(demand, part, mixing) { low = part } else { high = part }
+            let share = (low + high) / 2.0;
+            if self.fits(demand, share, mixing) { low = share } else { high = share }
         }
         demand.work() * low
     }
 
-    /// Whether a part of the demand can be served.
-    fn fits(&self, demand: &Demand, part: f64, mixing: f64) -> bool {
-        let prompt = (demand.prompt * part - self.prefill).max(0.0);
-        let output = (demand.output * part - self.decode).max(0.0);
-        let reading = ratio(prompt, self.mixed.prefill);
-        let writing = ratio(output, self.mixed.decode);
-        // An engine that does only one kind of work loses nothing to the other.
-        let mixing = if writing > 0.0 { mixing } else { 0.0 };
-        reading * (1.0 + mixing) + writing <= 1.0
+    /// Returns whether this share of the demand can be served.
+    fn fits(&self, demand: &Demand, share: f64, mixing: f64) -> bool {
+        let prompt = (demand.prompt * share - self.prefill).max(0.0);
+        let output = (demand.output * share - self.decode).max(0.0);
+        let prefill = ratio(prompt, self.mixed.prefill);
+        let decode = ratio(output, self.mixed.decode);
+        // An engine that serves only one stage loses nothing to the other.
+        let mixing = if decode > 0.0 { mixing } else { 0.0 };
+        prefill * (1.0 + mixing) + decode <= 1.0
     }
 }
 
-fn ratio(need: f64, have: f64) -> f64 {
-    if need <= 0.0 { 0.0 } else { need / have.max(f64::MIN_POSITIVE) }
+fn ratio(needed: f64, available: f64) -> f64 {
+    if needed <= 0.0 { 0.0 } else { needed / available.max(f64::MIN_POSITIVE) }
 }
