--- a/crates/policy/src/pacing.rs
+++ b/crates/policy/src/pacing.rs
@@ -1,51 +1,53 @@
-//! How many requests a second a target in need gets from all entries together.
+//! Limits the requests per second that a rate-limited target gets from all entries together.
 //!
-//! **Load pattern.** A target that can bear less than usual names a limit in its answers, for as long as
-//! it is in need; up to hundreds of entries send to it, with unequal demand. **Without it** each entry goes
-//! on as before, or keeps to the whole limit by itself, and the target gets several times what it can
-//! bear. **How.** Whoever coordinates the target gives a permit for each request, from one [`Pacer`]. Who
-//! stands by gives [`STANDBY_SHARE`] of that, or [`ISOLATED_STANDBY_SHARE`] if it doesn't hear the first either, and without an answer there is no
-//! permit, so that entries that are killed, frozen or cut off never make the sum exceed what is allowed.
+//! **Load pattern.** A target that can take less load than usual names a rate limit in its
+//! responses, for as long as that lasts. Up to hundreds of entries send to it, with unequal demand.
+//! **Without this**, each entry goes on as before, or applies the whole limit by itself, and the
+//! target gets several times what it can take. **Approach.** The coordinator of the target grants a
+//! permit for each request, from one [`Pacer`]. The standby grants [`STANDBY_SHARE`] of the limit,
+//! or [`ISOLATED_STANDBY_SHARE`] if it does not reach the coordinator either. Without a response
+//! there is no permit, so entries that are killed, frozen or partitioned never make the sum exceed
+//! what is allowed.
 
 use crate::{Hash, Time};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Requests a second.
+/// Requests per second.
 pub type Rate = f64;
 
-/// The limit that a target named last, in spite of answers that overtake one another.
+/// The rate limit that a target named last. Handles responses that overtake one another.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RateLimit {
     rate: Option<Rate>,
-    /// When the newest answer came that named this limit.
-    heard: Time,
-    /// When the newest request was sent that was answered with it.
-    sent: Time,
+    /// When the newest response with this limit was received.
+    received_at: Time,
+    /// When the newest request was sent whose response named this limit.
+    sent_at: Time,
 }
 
 impl RateLimit {
-    /// The limit, if there is one.
+    /// Returns the limit, if there is one.
     pub fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
-    /// When it was last heard of.
+    /// Returns when the newest response with this limit was received.
     pub fn received_at(&self) -> Time {
-        self.heard
+        self.received_at
     }
 
-    /// When the newest request was sent that was answered with it.
+    /// Returns when the newest request was sent whose response named this limit.
     pub fn sent_at(&self) -> Time {
-        self.sent
+        self.sent_at
     }
 
-    /// Takes in what an answer names that came at `now` and whose request was sent at `sent`. Returns
-    /// whether the limit is another now.
+    /// Records the limit in a response that was received at `now`, to a request that was sent at
+    /// `sent_at`. Returns whether the limit has changed.
     ///
-    /// A lower limit counts at once. A higher one, or none, counts only in the answer to a request that
-    /// was sent after the limit was last heard of: any other may be older than that.
-    pub fn observe(&mut self, named: Option<Rate>, sent: Time, now: Time) -> bool {
+    /// A lower limit applies at once. A higher one, or none, applies only if the request was sent
+    /// after the current limit was last received: any other response may be older than that limit.
+    pub fn observe(&mut self, named: Option<Rate>, sent_at: Time, now: Time) -> bool {
         if (named, self.rate) == (None, None) {
             return false;
         }
@@ -54,174 +56,182 @@
             (None, Some(_)) => true,
             (_, None) => false,
         };
-        if looser && sent < self.heard {
+        if looser && sent_at < self.received_at {
             return false;
         }
         let changed = named != self.rate;
-        let sent = if changed { sent } else { self.sent.max(sent) };
-        *self = Self { rate: named, heard: self.heard.max(now), sent };
+        let sent_at = if changed { sent_at } else { self.sent_at.max(sent_at) };
+        *self = Self { rate: named, received_at: self.received_at.max(now), sent_at };
         changed
     }
 }
 
-/// The part of a limit that is given out by who stands by for a coordinator. Both may be asked at the same
-/// time, by entries that reach different ones of them.
+/// Share of a rate limit that the standby of a coordinator grants. Both may be asked at the same
+/// time, by entries that reach only one of them.
 pub const STANDBY_SHARE: f64 = 0.3;
 
-/// The same where who stands by doesn't hear the coordinator either: then it is gone, most likely.
+/// Share that the standby grants if it does not reach the coordinator, which has then most likely
+/// failed.
 pub const ISOLATED_STANDBY_SHARE: f64 = 0.8;
 
-/// Requests that a target gets in a second whatever it names, so that the end of its need is heard of.
-const LEAST_RATE: Rate = 0.5;
+/// Requests per second that a target gets however low its limit is, so that the end of the limit is
+/// noticed.
+const MIN_RATE: Rate = 0.5;
 
-/// Permits of this span may be saved up besides one, and of large limits those of [`SHORT_SPAN`] besides two.
-/// Entries ask at random times, and without any a permit that nobody asks for in its moment would be lost.
-const SAVED_SPAN: Duration = Duration::from_millis(250);
+/// Burst size of small limits: one permit and those of this time. For large limits it is two
+/// permits and those of [`SHORT_BURST`]. Entries ask at random times, and without a burst a permit
+/// that nobody asks for at its moment would be lost.
+const BURST: Duration = Duration::from_millis(250);
 
-/// See [`SAVED_SPAN`].
-const SHORT_SPAN: Duration = Duration::from_millis(125);
+/// Burst of large limits, see [`BURST`].
+const SHORT_BURST: Duration = Duration::from_millis(125);
 
-/// The part of what may be saved up that is kept for the most urgent requests.
-const KEPT_FOR_URGENT: f64 = 0.5;
+/// Share of the burst that is reserved for the most urgent requests.
+const URGENT_RESERVE: f64 = 0.5;
 
-/// After so many permits for urgent requests in a row, the next is for another that waits for one.
-const URGENT_IN_A_ROW: u32 = 7;
+/// Number of consecutive permits for urgent requests after which a less urgent one gets the next,
+/// if one waits.
+const MAX_CONSECUTIVE_URGENT: u32 = 7;
 
-/// How long a request that was refused a permit counts as waiting, and an urgent one as the most urgent.
+/// How long a request that was refused a permit counts as waiting, and how long the lowest priority
+/// value seen counts as the most urgent one.
 const RECENT: Duration = Duration::from_secs(2);
 
-/// How often all entries together ask in the time in which one permit becomes free.
-const ASKED_EACH: f64 = 3.0;
+/// How often all entries together ask while one permit becomes available.
+const REQUESTS_PER_PERMIT: f64 = 3.0;
 
-/// The longest that an entry is told to wait before it asks again.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+/// Longest time that an entry waits before it asks again.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// How urgent a request is: 0 goes first.
+/// Priority of a request: 0 is the most urgent.
 pub type Priority = u8;
 
-/// Gives out permits for requests to one target.
+/// Grants permits for requests to one target, as a token bucket.
 #[derive(Debug, Clone)]
 pub struct Pacer {
     rate: Rate,
     permits: f64,
-    at: Time,
-    /// The lowest rank seen lately, and when.
-    urgent: Option<(Priority, Time)>,
-    /// When a request that is less urgent was last refused.
-    refused: Option<Time>,
-    in_a_row: u32,
-    /// Who was refused lately.
+    updated_at: Time,
+    /// The lowest priority value seen recently, and when.
+    most_urgent: Option<(Priority, Time)>,
+    /// When a less urgent request was last refused.
+    refused_at: Option<Time>,
+    consecutive_urgent: u32,
+    /// Entries that were refused recently.
     waiting: HashMap<Hash, Time>,
-    /// When they were last looked through.
-    swept: Time,
+    /// When expired entries were last removed from `waiting`.
+    cleaned_at: Time,
 }
 
-/// Who asks for a permit.
+/// The entry and the priority of the request that a permit is requested for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Requester {
-    /// The entry.
+    /// The hash of the entry's name.
     pub entry: Hash,
-    /// How urgent the request is.
+    /// The priority of the request.
     pub priority: Priority,
 }
 
 impl Pacer {
-    /// One that has no permits yet: it doesn't know what others have given out before.
+    /// Creates a pacer without permits: it does not know what another coordinator has just granted.
     pub fn new(now: Time) -> Self {
         Self {
-            rate: LEAST_RATE,
+            rate: MIN_RATE,
             permits: 0.0,
-            at: now,
-            urgent: None,
-            refused: None,
-            in_a_row: 0,
+            updated_at: now,
+            most_urgent: None,
+            refused_at: None,
+            consecutive_urgent: 0,
             waiting: HashMap::new(),
-            swept: now,
+            cleaned_at: now,
         }
     }
 
-    /// Gives out this part of a limit from now on.
-    pub fn set_limit(&mut self, limit: Rate, part: f64, now: Time) {
+    /// Sets the limit and the share of it that this pacer grants.
+    pub fn set_limit(&mut self, limit: Rate, share: f64, now: Time) {
         self.advance(now);
-        self.rate = limit.max(LEAST_RATE) * part;
-        self.permits = self.permits.min(self.most());
+        self.rate = limit.max(MIN_RATE) * share;
+        self.permits = self.permits.min(self.capacity());
     }
 
-    /// Gives a permit, or says after how long to ask again.
-    pub fn acquire(&mut self, ask: Requester, now: Time) -> Result<(), Duration> {
-        self.note_rank(ask.priority, now);
-        if let Err(wait) = self.check(ask.priority, now) {
-            self.note_refusal(ask, now);
-            return Err(wait.max(self.pause()).min(LONGEST_WAIT));
+    /// Takes a permit, or returns the time after which to ask again.
+    pub fn acquire(&mut self, requester: Requester, now: Time) -> Result<(), Duration> {
+        self.record_priority(requester.priority, now);
+        if let Err(wait) = self.check(requester.priority, now) {
+            self.record_refusal(requester, now);
+            return Err(wait.max(self.min_wait()).min(MAX_WAIT));
         }
         self.permits -= 1.0;
-        self.in_a_row = if self.is_urgent(ask.priority, now) { self.in_a_row + 1 } else { 0 };
-        self.waiting.remove(&ask.entry);
+        self.consecutive_urgent =
+            if self.is_urgent(requester.priority, now) { self.consecutive_urgent + 1 } else { 0 };
+        self.waiting.remove(&requester.entry);
         Ok(())
     }
 
-    /// Whether there is a permit, or how long until there is.
-    pub fn check(&mut self, rank: Priority, now: Time) -> Result<(), Duration> {
+    /// Checks whether a permit is available, or returns the time until one is.
+    pub fn check(&mut self, priority: Priority, now: Time) -> Result<(), Duration> {
         self.advance(now);
-        let missing = self.needed(rank, now) - self.permits;
+        let missing = self.required(priority, now) - self.permits;
         if missing <= 0.0 {
             return Ok(());
         }
-        let wait = Duration::try_from_secs_f64(missing / self.rate).unwrap_or(LONGEST_WAIT);
-        Err(wait.min(LONGEST_WAIT))
+        let wait = Duration::try_from_secs_f64(missing / self.rate).unwrap_or(MAX_WAIT);
+        Err(wait.min(MAX_WAIT))
     }
 
-    /// Permits that have to be there for a request to get one.
-    fn needed(&self, rank: Priority, now: Time) -> f64 {
-        let others_turn = self.in_a_row >= URGENT_IN_A_ROW && is_recent(self.refused, now);
-        if self.is_urgent(rank, now) == others_turn {
-            1.0 + (self.most() - 1.0) * KEPT_FOR_URGENT
+    /// Returns how many permits have to be available for a request of this priority to get one.
+    fn required(&self, priority: Priority, now: Time) -> f64 {
+        let prefer_others =
+            self.consecutive_urgent >= MAX_CONSECUTIVE_URGENT && is_recent(self.refused_at, now);
+        if self.is_urgent(priority, now) == prefer_others {
+            1.0 + (self.capacity() - 1.0) * URGENT_RESERVE
         } else {
             1.0
         }
     }
 
-    fn is_urgent(&self, rank: Priority, now: Time) -> bool {
-        match self.urgent {
-            Some((lowest, seen)) if is_recent(Some(seen), now) => rank <= lowest,
+    fn is_urgent(&self, priority: Priority, now: Time) -> bool {
+        match self.most_urgent {
+            Some((lowest, seen_at)) if is_recent(Some(seen_at), now) => priority <= lowest,
             Some(_) | None => true,
         }
     }
 
-    fn note_rank(&mut self, rank: Priority, now: Time) {
-        if self.is_urgent(rank, now) {
-            self.urgent = Some((rank, now));
+    fn record_priority(&mut self, priority: Priority, now: Time) {
+        if self.is_urgent(priority, now) {
+            self.most_urgent = Some((priority, now));
         }
     }
 
-    fn note_refusal(&mut self, ask: Requester, now: Time) {
-        if !self.is_urgent(ask.priority, now) {
-            self.refused = Some(now);
+    fn record_refusal(&mut self, requester: Requester, now: Time) {
+        if !self.is_urgent(requester.priority, now) {
+            self.refused_at = Some(now);
         }
-        if now.saturating_sub(self.swept) >= RECENT {
+        if now.saturating_sub(self.cleaned_at) >= RECENT {
             self.waiting.retain(|_, at| is_recent(Some(*at), now));
-            self.swept = now;
+            self.cleaned_at = now;
         }
-        self.waiting.insert(ask.entry, now);
+        self.waiting.insert(requester.entry, now);
     }
 
-    /// How long an entry waits before it asks again, so that all who wait don't ask for each permit.
-    fn pause(&self) -> Duration {
+    /// Returns how long an entry waits at least before it asks again, so that not all waiting
+    /// entries ask for each permit.
+    fn min_wait(&self) -> Duration {
         let waiting = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX);
-        let pause = f64::from(waiting) / (self.rate * ASKED_EACH);
-        Duration::try_from_secs_f64(pause).unwrap_or(LONGEST_WAIT)
+        let wait = f64::from(waiting) / (self.rate * REQUESTS_PER_PERMIT);
+        Duration::try_from_secs_f64(wait).unwrap_or(MAX_WAIT)
     }
 
-    /// Permits that may be saved up.
-    fn most(&self) -> f64 {
-        let of = |span: Duration| self.rate * span.as_secs_f64();
-        (1.0 + of(SAVED_SPAN)).min(2.0 + of(SHORT_SPAN))
+    /// Returns the maximum number of saved permits.
+    fn capacity(&self) -> f64 {
+        let within = |span: Duration| self.rate * span.as_secs_f64();
+        (1.0 + within(BURST)).min(2.0 + within(SHORT_BURST))
     }
 
     fn advance(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        self.permits = (self.permits + passed * self.rate).min(self.most());
-        self.at = self.at.max(now);
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.permits = (self.permits + elapsed * self.rate).min(self.capacity());
+        self.updated_at = self.updated_at.max(now);
     }
 }
 
--- a/crates/policy/src/reachability.rs
+++ b/crates/policy/src/reachability.rs
@@ -1,99 +1,102 @@
-//! Whether a target can be reached, and whether it says anything.
+//! Tracks whether a target can be reached and whether it responds.
 //!
-//! **Load pattern.** A target goes dark under load: its connections stay open and nothing answers,
-//! or nobody accepts connections. **Without it** it keeps its share of the requests until its
-//! record lapses, each of which waits for its deadline; and at the end of every pause all requests
-//! of that moment go there at once and wait for a connection. **How.** A target that has had work
-//! for a while and has not said a word counts as silent, and one that could not be reached is
-//! paused; both get work only if all are like that. After a pause one probe is sent, and only its
-//! success ends the pause.
+//! **Load pattern.** A target stops responding under load: its connections stay open without any
+//! data, or it accepts no connections. **Without this**, it keeps its share of the requests until
+//! its registration expires, and each of them waits for its deadline. At the end of every backoff,
+//! all requests of that moment go there at once and wait for a connection. **Approach.** A target
+//! that has had requests for a while without sending anything counts as unresponsive, and one that
+//! could not be reached is backed off from. Both get work only if all targets are in such a state.
+//! After a backoff one probe is sent, and only its success ends the backoff.
 
 use crate::Time;
 use std::time::Duration;
 
-/// The first pause after a target could not be reached; it doubles up to [`MOST_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(250);
+/// First backoff after a target could not be reached; it doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// The longest pause: a target that is back is found within this time and the probe's.
-const MOST_PAUSE: Duration = Duration::from_secs(1);
+/// Longest backoff. A target that recovers is detected within this time and that of a probe.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Whether one target can be reached.
+/// Reachability of one target, as seen by one entry.
 #[derive(Debug, Clone, Default)]
 pub struct Reachability {
     outstanding: u32,
-    /// Since when it has had work without a word.
-    quiet: Option<Time>,
-    pause: Option<Pause>,
+    /// Since when it has had requests without sending anything.
+    quiet_since: Option<Time>,
+    backoff: Option<Backoff>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Pause {
+struct Backoff {
     until: Time,
     length: Duration,
     probing: bool,
 }
 
 impl Reachability {
-    /// Notes a request that is sent there.
+    /// Records that a request is sent to the target.
     pub fn request_started(&mut self, now: Time) {
         self.outstanding += 1;
-        self.quiet.get_or_insert(now);
+        self.quiet_since.get_or_insert(now);
     }
 
-    /// Notes that a request there has ended, however it did.
+    /// Records that a request at the target has ended, with any outcome.
     pub fn request_ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
         if self.outstanding == 0 {
-            self.quiet = None;
+            self.quiet_since = None;
         }
     }
 
-    /// Requests that are there.
+    /// Returns the number of requests in flight.
     pub fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Notes that it said something.
+    /// Records that the target sent something.
     pub fn response_received(&mut self, now: Time) {
-        self.quiet = (self.outstanding > 0).then_some(now);
-        self.pause = None;
+        self.quiet_since = (self.outstanding > 0).then_some(now);
+        self.backoff = None;
     }
 
-    /// Notes that it could not be reached.
+    /// Records that the target could not be reached.
     pub fn connection_failed(&mut self, now: Time) {
-        let length = match self.pause {
-            // Several attempts that end together are one piece of news.
-            Some(pause) if !pause.probing => return,
-            Some(pause) => (pause.length * 2).min(MOST_PAUSE),
-            None => PAUSE,
+        let length = match self.backoff {
+            // Several attempts that fail together count once.
+            Some(backoff) if !backoff.probing => return,
+            Some(backoff) => (backoff.length * 2).min(MAX_BACKOFF),
+            None => INITIAL_BACKOFF,
         };
-        self.pause = Some(Pause { until: now + length, length, probing: false });
+        self.backoff = Some(Backoff { until: now + length, length, probing: false });
     }
 
-    /// Whether it could not be reached, and no probe has reached it since.
+    /// Returns whether the target could not be reached and no probe has succeeded since.
     pub fn is_backing_off(&self) -> bool {
-        self.pause.is_some()
+        self.backoff.is_some()
     }
 
-    /// When the next probe is due, unless one is under way.
+    /// Returns when the next probe is due, unless one is in progress.
     pub fn probe_due(&self) -> Option<Time> {
-        self.pause.filter(|pause| !pause.probing).map(|pause| pause.until)
+        self.backoff.filter(|backoff| !backoff.probing).map(|backoff| backoff.until)
     }
 
-    /// Whether it is time for a probe; the caller sends one and tells of it by
-    /// [`Reachability::response_received`] or [`Reachability::connection_failed`].
+    /// Starts a probe if one is due, and returns whether it did. The caller then sends it and
+    /// reports the outcome with [`Reachability::response_received`] or
+    /// [`Reachability::connection_failed`].
     #[must_use]
     pub fn begin_probe(&mut self, now: Time) -> bool {
-        let Some(pause) = self.pause.as_mut().filter(|pause| !pause.probing && now >= pause.until)
+        let Some(backoff) =
+            self.backoff.as_mut().filter(|backoff| !backoff.probing && now >= backoff.until)
         else {
             return false;
         };
-        pause.probing = true;
+        backoff.probing = true;
         true
     }
 
-    /// Whether it has had work for longer than `patience` without a word.
-    pub fn is_unresponsive(&self, patience: Duration, now: Time) -> bool {
-        self.quiet.is_some_and(|since| now.saturating_sub(since) > patience)
+    /// Returns whether the target has had requests for longer than `timeout` without sending
+    /// anything.
+    pub fn is_unresponsive(&self, timeout: Duration, now: Time) -> bool {
+        self.quiet_since.is_some_and(|since| now.saturating_sub(since) > timeout)
     }
 }
--- a/crates/policy/src/retry_detection.rs
+++ b/crates/policy/src/retry_detection.rs
@@ -1,63 +1,64 @@
-//! Which requests have waited already, because their caller was refused and came back.
+//! Detects requests that are retries of refused ones.
 //!
-//! **Load pattern.** In a burst hundreds of callers a second are refused, and each comes back. The
-//! objective counts from their first try, so it has passed. **Without it** their prompts compete on
-//! equal terms with those that can still be answered in time, and every answer that is late already
-//! makes another one late. **How.** Callers of one route give about the same time when they first
-//! ask; whoever has clearly less left has waited. Nothing is concluded unless many requests give
-//! the longest time: then callers of the route simply differ.
+//! **Load pattern.** In a burst, hundreds of callers per second are refused, and each retries. The
+//! objective counts from their first attempt, so it has passed. **Without this**, their prompts
+//! compete on equal terms with those that can still be answered in time, and every response that is
+//! already late makes another one late. **Approach.** Callers of one route send about the same
+//! remaining time with their first attempt, so a request with clearly less is a retry. Nothing is
+//! concluded unless many requests carry the longest time; otherwise callers of the route simply
+//! differ.
 
 use std::time::Duration;
 
-/// Requests after which the longest time seen is forgotten unless it is seen again: one caller with
-/// more patience than all others must not count for long.
-const SPAN: u32 = 500;
+/// Requests after which the longest time is forgotten unless it is seen again. One caller that
+/// waits longer than all others must not count for long.
+const WINDOW: u32 = 500;
 
-/// The share of requests that give the longest time, for it to be the time that all give. Of callers
-/// that come back up to three times a quarter are fresh.
-const LEAST_FRESH: f64 = 0.15;
+/// Share of requests with the longest time from which it counts as the time that all callers send.
+/// If callers retry up to three times, a quarter of the requests are first attempts.
+const MIN_FRESH_SHARE: f64 = 0.15;
 
-/// How much less than the longest time a fresh request may give, in parts of the objective: the way
-/// from caller to entry takes less, a refusal and the way back more.
-const SLACK: f64 = 0.5;
+/// How much less than the longest time a first attempt may carry, as a share of the objective. The
+/// network from caller to entry takes less, a refusal and the retry take more.
+const TOLERANCE: f64 = 0.5;
 
-/// What one route's callers give.
+/// Detects the retries among the requests of one route.
 #[derive(Debug, Clone, Default)]
 pub struct RetryDetector {
-    before: Span,
-    now: Span,
+    previous: Window,
+    current: Window,
 }
 
-/// Some hundred requests.
+/// Statistics of up to [`WINDOW`] requests.
 #[derive(Debug, Clone, Copy, Default)]
-struct Span {
+struct Window {
     requests: u32,
     fresh: u32,
     longest: Duration,
 }
 
 impl RetryDetector {
-    /// Takes in how long a caller waits from now on, and says whether it has probably waited longer
-    /// than the objective allows.
+    /// Records how long a caller still waits and returns whether its request is probably a retry,
+    /// so that its objective has passed.
     pub fn is_retry(&mut self, left: Duration, objective: Duration) -> bool {
-        if self.now.requests >= SPAN {
-            self.before = std::mem::take(&mut self.now);
+        if self.current.requests >= WINDOW {
+            self.previous = std::mem::take(&mut self.current);
         }
-        let longest = self.before.longest.max(self.now.longest);
+        let longest = self.previous.longest.max(self.current.longest);
         if left > longest {
-            // Those that seemed fresh by the shorter time are not by this one.
-            (self.now.fresh, self.before.fresh) = (0, 0);
+            // Requests that counted as first attempts by the shorter time do not by this one.
+            (self.current.fresh, self.previous.fresh) = (0, 0);
         }
         let longest = longest.max(left);
-        self.now.longest = self.now.longest.max(left);
-        let fresh = left + objective.mul_f64(SLACK) >= longest;
-        self.now.requests += 1;
-        self.now.fresh += u32::from(fresh);
-        !fresh && self.most_agree()
+        self.current.longest = self.current.longest.max(left);
+        let fresh = left + objective.mul_f64(TOLERANCE) >= longest;
+        self.current.requests += 1;
+        self.current.fresh += u32::from(fresh);
+        !fresh && self.is_conclusive()
     }
 
-    fn most_agree(&self) -> bool {
-        let requests = f64::from(self.now.requests + self.before.requests);
-        f64::from(self.now.fresh + self.before.fresh) >= LEAST_FRESH * requests
+    fn is_conclusive(&self) -> bool {
+        let requests = f64::from(self.current.requests + self.previous.requests);
+        f64::from(self.current.fresh + self.previous.fresh) >= MIN_FRESH_SHARE * requests
     }
 }
--- a/crates/policy/src/signals.rs
+++ b/crates/policy/src/signals.rs
@@ -1,71 +1,73 @@
-//! What a target says of itself in the heads of its answers, and what follows for who sends to it.
+//! Signals that a target sends in the headers of its responses, and what follows for its senders.
 //!
-//! A new signal is a field of [`Signals`], kept by [`SignalState`] and asked for in [`SignalState::check_open`].
+//! A new signal is a field of [`Signals`], kept by [`SignalState`] and checked in
+//! [`SignalState::check_open`].
 
 use crate::Time;
 use crate::pacing::{Rate, RateLimit};
 use crate::pause::Pause;
 use std::time::Duration;
 
-/// One signal, as the head of an answer has it.
+/// One signal, as read from the headers of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Signal<T> {
-    /// The answer says nothing of it.
+    /// The response does not contain it.
     #[default]
     Absent,
     /// Its value.
     Value(T),
-    /// A value that can't be read.
+    /// A value that could not be parsed.
     Unreadable,
 }
 
-/// All signals in the head of one answer.
+/// All signals in the headers of one response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Signals {
-    /// How many requests a second the target takes in from all entries together.
+    /// Rate limit: requests per second that the target accepts from all entries together.
     pub limit: Signal<Rate>,
-    /// Whether it leaves.
+    /// Whether the target is leaving.
     pub leaving: Signal<bool>,
-    /// For how long it wants no requests from this entry.
+    /// How long the target accepts no requests from this entry.
     pub pause: Signal<Duration>,
 }
 
 /// The name of a signal in logs.
 pub type SignalName = &'static str;
 
-/// What changed with an answer.
+/// A change of a target's signals by a response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// The target takes in so many requests a second, or any number again.
+    /// The target accepts this many requests per second, or any number again.
     Limit(Option<Rate>),
-    /// It leaves.
+    /// The target is leaving.
     Leaves,
-    /// It wants no requests for so long.
+    /// The target accepts no requests for a while.
     Pauses {
-        /// From now on.
+        /// How long, from now.
         span: Duration,
-        /// Whether it took requests until now.
+        /// Whether it accepted requests until now.
         is_new: bool,
     },
-    /// It takes requests again after a pause.
+    /// The target accepts requests again after a pause.
     Resumes,
-    /// A signal can't be read; what was known stays in force.
+    /// A signal could not be parsed. The previous value still applies.
     Unreadable(SignalName),
 }
 
-/// Why a target gets no request now.
+/// Why no request may be sent to a target now. The names of the variants appear in logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Closed {
-    /// It named a limit, and there is no permit.
+    /// It is rate limited, and there is no permit.
     Limited,
-    /// It leaves.
+    /// It is leaving.
     Leaving,
-    /// It wants none for a while, or not yet as many again.
+    /// It is paused, or its load is still ramping up after a pause.
     Paused,
 }
 
-/// How long until the first of some targets opens, if each of them is closed for a time; they are looked at up
-/// to the first that is open.
+/// Returns the time until the first of some targets opens, or `None` if one is open or there are
+/// none. Each item is the time for which a target is closed. Iteration stops at the first open
+/// target.
 pub fn until_open(closed: impl IntoIterator<Item = Option<Duration>>) -> Option<Duration> {
     let mut soonest = None;
     for left in closed {
@@ -75,7 +77,7 @@
     soonest
 }
 
-/// What is known of one life of a target by its own answers.
+/// State of one incarnation of a target, from the signals in its responses.
 #[derive(Debug, Clone, Default)]
 pub struct SignalState {
     limit: RateLimit,
@@ -85,94 +87,101 @@
 }
 
 impl SignalState {
-    /// What is left of an earlier account of the same life, which may have wanted a pause until then.
+    /// Restores the state of the same incarnation: whether it is leaving, and when its pause ends.
     pub fn restored(leaving: bool, pause: Option<Time>) -> Self {
         let pause = pause.map(Pause::new).unwrap_or_default();
         Self { leaving, pause, ..Self::default() }
     }
 
-    /// Takes in what an answer that came at `now` says; its request was sent at `sent`.
-    pub fn observe(&mut self, signals: &Signals, sent: Time, now: Time) -> Vec<Change> {
+    /// Records the signals of a response that was received at `now`, to a request that was sent at
+    /// `sent_at`, and returns what changed.
+    pub fn observe(&mut self, signals: &Signals, sent_at: Time, now: Time) -> Vec<Change> {
         let Signals { limit, leaving, pause } = *signals;
         let mut changes = Vec::new();
-        changes.extend(self.observe_limit(limit, sent, now));
+        changes.extend(self.observe_limit(limit, sent_at, now));
         changes.extend(self.observe_leaving(leaving));
-        changes.extend(self.observe_pause(pause, sent, now));
+        changes.extend(self.observe_pause(pause, sent_at, now));
         changes
     }
 
-    /// The limit on what it takes in.
+    /// Returns the rate limit.
     pub fn limit(&self) -> RateLimit {
         self.limit
     }
 
-    /// Whether it leaves.
+    /// Returns whether the target is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Whether it wants requests now.
+    /// Checks whether the target accepts requests now.
     pub fn check_open(&self, now: Time) -> Result<(), Closed> {
         if self.leaving {
             return Err(Closed::Leaving);
         }
-        self.pause.look(now).map_err(|_| Closed::Paused)
+        self.pause.check(now).map_err(|_| Closed::Paused)
     }
 
-    /// Counts a request that is sent, if the target wants any now.
+    /// Counts a request that is about to be sent, if the target accepts requests now.
     pub fn acquire(&mut self, now: Time) -> Result<(), Closed> {
         self.check_open(now)?;
-        self.pause.take(now).map_err(|_| Closed::Paused)
+        self.pause.acquire(now).map_err(|_| Closed::Paused)
     }
 
-    /// Whether a request that was counted may still be sent, after a connection turned out to be closed.
+    /// Checks whether a request that was counted may still be sent on another connection, after its
+    /// connection turned out to be closed.
     pub fn recheck(&self, now: Time) -> Result<(), Closed> {
         if self.leaving {
             return Err(Closed::Leaving);
         }
-        if self.pause.lasts(now) { Err(Closed::Paused) } else { Ok(()) }
+        if self.pause.is_active(now) { Err(Closed::Paused) } else { Ok(()) }
     }
 
-    /// How long until it wants requests again after a pause, if it does not now.
+    /// Returns the time until the target accepts requests again after a pause, if it does not now.
     pub fn pause_remaining(&self, now: Time) -> Option<Duration> {
-        self.pause.look(now).err()
+        self.pause.check(now).err()
     }
 
-    fn observe_limit(&mut self, said: Signal<Rate>, sent: Time, now: Time) -> Option<Change> {
-        let named = match said {
+    fn observe_limit(&mut self, signal: Signal<Rate>, sent_at: Time, now: Time) -> Option<Change> {
+        let named = match signal {
             Signal::Absent => None,
             Signal::Value(rate) => Some(rate),
-            Signal::Unreadable => return self.is_first_unreadable("limit"),
+            Signal::Unreadable => return self.report_unreadable("limit"),
         };
-        self.is_readable("limit");
-        self.limit.observe(named, sent, now).then_some(Change::Limit(named))
+        self.clear_unreadable("limit");
+        self.limit.observe(named, sent_at, now).then_some(Change::Limit(named))
     }
 
-    fn observe_leaving(&mut self, said: Signal<bool>) -> Option<Change> {
-        match said {
+    fn observe_leaving(&mut self, signal: Signal<bool>) -> Option<Change> {
+        match signal {
             Signal::Value(true) => {
                 let first = !std::mem::replace(&mut self.leaving, true);
                 first.then_some(Change::Leaves)
             }
-            // No life of a target takes its leaving back.
+            // An incarnation that is leaving never stops leaving.
             Signal::Value(false) | Signal::Absent => None,
-            Signal::Unreadable => self.is_first_unreadable("leaving"),
+            Signal::Unreadable => self.report_unreadable("leaving"),
         }
     }
 
-    fn observe_pause(&mut self, said: Signal<Duration>, sent: Time, now: Time) -> Option<Change> {
-        match said {
+    fn observe_pause(
+        &mut self,
+        signal: Signal<Duration>,
+        sent_at: Time,
+        now: Time,
+    ) -> Option<Change> {
+        match signal {
             Signal::Value(span) => {
-                let is_new = !self.pause.lasts(now);
+                let is_new = !self.pause.is_active(now);
                 self.pause.begin(span, now).then_some(Change::Pauses { span, is_new })
             }
-            Signal::Absent => self.pause.answered(sent, now).then_some(Change::Resumes),
-            Signal::Unreadable => self.is_first_unreadable("pause"),
+            Signal::Absent => self.pause.observe_response(sent_at, now).then_some(Change::Resumes),
+            Signal::Unreadable => self.report_unreadable("pause"),
         }
     }
 
-    /// Notes that a signal can't be read, once until it can.
-    fn is_first_unreadable(&mut self, name: SignalName) -> Option<Change> {
+    /// Reports a signal that could not be parsed, once until it can be.
+    fn report_unreadable(&mut self, name: SignalName) -> Option<Change> {
         if self.unreadable.contains(&name) {
             return None;
         }
@@ -180,7 +189,7 @@
         Some(Change::Unreadable(name))
     }
 
-    fn is_readable(&mut self, name: SignalName) {
+    fn clear_unreadable(&mut self, name: SignalName) {
         self.unreadable.retain(|other| *other != name);
     }
 }
