--- a/crates/policy/src/decode.rs
+++ b/crates/policy/src/decode.rs
@@ -1,68 +1,69 @@
-//! Which engine writes the output of a prompt that another has read.
+//! Decides which engine decodes the output of a prompt that another engine has prefilled.
 //!
-//! **Load pattern.** Hundreds of KV caches a second go from engines that read to engines that write,
-//! over links on which transfers run one after another; streams of seconds fill the writers' slots.
-//! **Without it** (the fewest streams) two of three caches go to another failure domain, where they
-//! take twice as long, and an engine whose link is slow gets its share until transfers to it wait
-//! for seconds. **How.** Engines that can't be reached or are about to change come last; then slow
-//! links count, then how many parts of the slots are filled, then the distance, then the number of
-//! streams.
+//! **Load pattern.** Hundreds of KV caches per second are transferred from prefill to decode
+//! engines, over links on which transfers run one after another, and streams of seconds fill the
+//! slots of the decode engines. **Without this** (fewest streams), two of three caches go to
+//! another failure domain, where they take twice as long, and an engine with a slow link gets its
+//! share until transfers to it wait for seconds. **Approach.** Engines that are unavailable or
+//! about to change their role come last. Then slow links count, then how many quarters of the slots
+//! are in use, then the distance, then the number of streams.
 
 use std::time::Duration;
 
-/// Engines are told apart by how many of these parts of their slots streams fill. Within one such
-/// part the nearer engine is taken: with fewer streams an output is hardly faster.
-const FILL_PARTS: u32 = 4;
+/// Number of levels by which slot usage is compared. Within one level the engine in the same
+/// failure domain is preferred: with fewer streams, decode is hardly faster.
+const USAGE_LEVELS: u32 = 4;
 
-/// Engines whose KV cache is on its way for this share of the objective longer than usual are taken
-/// after others: that is as much as reading a prompt may wait for a queue of two others.
-const SLOW_STEP: f64 = 0.17;
+/// Step by which slow transfers are compared, as a share of the objective: about as long as a
+/// prompt may wait for the prefill of two others.
+const TRANSFER_STEP: f64 = 0.17;
 
-/// An engine that could write.
+/// An engine that could decode a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DecodeCandidate {
-    /// Whether it can't be reached or says nothing.
+    /// Whether it can't be reached, does not respond or accepts no requests.
     pub unavailable: bool,
-    /// Whether it is about to read instead.
+    /// Whether it is about to become a prefill engine.
     pub changing: bool,
-    /// How much longer than usual KV cache takes to get there.
+    /// How much longer than usual KV cache transfers to it take.
     pub transfer_excess: Duration,
-    /// Streams that it writes, as far as is known.
+    /// Streams that it is known to decode.
     pub streams: u32,
-    /// Streams that it can write at once.
+    /// Streams that it can decode concurrently.
     pub slots: u32,
-    /// Whether the KV cache comes from its own failure domain.
+    /// Whether the KV cache is in the same failure domain.
     pub same_domain: bool,
 }
 
 impl DecodeCandidate {
-    /// Whether it can be counted on and streams fill less than this share of its slots, in hundredths.
-    pub fn has_room(&self, filled: u32) -> bool {
+    /// Returns whether the engine is available and streams use less than `max_percent` of its
+    /// slots.
+    pub fn has_room(&self, max_percent: u32) -> bool {
         !self.unavailable
-            && u64::from(self.streams) * 100 < u64::from(self.slots) * u64::from(filled)
+            && u64::from(self.streams) * 100 < u64::from(self.slots) * u64::from(max_percent)
     }
 }
 
-/// The place of a writer in the order of choice; the lowest is taken, and of equals any.
+/// The rank of a candidate. The lowest is chosen; equal ones are equivalent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    away: bool,
+    unavailable: bool,
     changing: bool,
-    slow: u128,
-    filled: u32,
-    far: bool,
+    transfer_level: u128,
+    usage_level: u32,
+    other_domain: bool,
     streams: u32,
 }
 
-/// The rank of a writer for an output whose first token is wanted within `objective`.
-pub fn rank(writer: &DecodeCandidate, objective: Duration) -> Rank {
-    let step = objective.mul_f64(SLOW_STEP).max(Duration::from_millis(1));
+/// Returns the rank of a candidate for a stream whose first token is due within `objective`.
+pub fn rank(candidate: &DecodeCandidate, objective: Duration) -> Rank {
+    let step = objective.mul_f64(TRANSFER_STEP).max(Duration::from_millis(1));
     Rank {
-        away: writer.unavailable,
-        changing: writer.changing,
-        slow: writer.transfer_excess.as_micros() / step.as_micros(),
-        filled: writer.streams / (writer.slots / FILL_PARTS).max(1),
-        far: !writer.same_domain,
-        streams: writer.streams,
+        unavailable: candidate.unavailable,
+        changing: candidate.changing,
+        transfer_level: candidate.transfer_excess.as_micros() / step.as_micros(),
+        usage_level: candidate.streams / (candidate.slots / USAGE_LEVELS).max(1),
+        other_domain: !candidate.same_domain,
+        streams: candidate.streams,
     }
 }
--- a/crates/policy/src/extra_budget.rs
+++ b/crates/policy/src/extra_budget.rs
@@ -1,28 +1,30 @@
-//! How many extra sendings a service may get, over all entries.
+//! Bounds the extra attempts that a service may get from all entries.
 //!
-//! **Load pattern.** Targets refuse or fail in a burst, at all entries in the same second, and
-//! each failed sending could be repeated. **Without it** the repeats add up over the entries and
-//! keep the targets at their limit. **How.** Over a sliding window an entry sends no more extras
-//! to a service than a share of the requests that it got for it, and its part of a small fixed
-//! allowance. Requests add up over entries, so the shares do, without a message; the allowance is
-//! divided by the entries that may exist. **Figures.** The operators' bounds, see [`Settings`].
+//! **Load pattern.** Targets refuse or fail in a burst, at all entries in the same second, and each
+//! failed attempt could be repeated. **Without this**, the repetitions add up over the entries and
+//! keep the targets at their limit. **Approach.** Over a sliding window, an entry sends no more
+//! extra attempts to a service than a share of the requests that it received for it, plus its part
+//! of a small fixed allowance. Requests add up over entries, and so do the shares, without any
+//! message; the allowance is divided by the number of entries that may exist. **Figures.** The
+//! operators' bounds, see [`Settings`].
 
 use crate::Time;
 use crate::number::float;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Settings of the window.
+/// Settings of the budget.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Extras for each request.
+    /// Extra attempts per request.
     pub ratio: f64,
-    /// Extras allowed besides, over all entries.
+    /// Further extra attempts allowed, over all entries.
     pub allowance: f64,
-    /// The length of the window.
+    /// Length of the sliding window.
     pub window: Duration,
-    /// The part of the bound that is used. Clocks of entries differ and an extra is counted where
-    /// it arrives, a little later, so the window's edges blur by less than a tenth of it.
+    /// Share of the bound that is used. Clocks of entries differ, and a target counts an extra
+    /// attempt when it arrives, a little later, so the edges of the window blur by less than a
+    /// tenth of it.
     pub margin: f64,
 }
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// Steps that the window slides in.
+/// Number of steps that the window is divided into.
 const STEPS: u32 = 20;
 
 #[derive(Debug, Clone, Copy)]
@@ -42,7 +44,7 @@
     extras: u64,
 }
 
-/// The extras of one service at one entry.
+/// The budget of one service at one entry.
 #[derive(Debug)]
 pub struct ExtraBudget {
     settings: Settings,
@@ -50,22 +52,23 @@
 }
 
 impl ExtraBudget {
-    /// An empty window.
+    /// Creates a budget with an empty window.
     pub fn new(settings: Settings) -> Self {
         Self { settings, steps: VecDeque::new() }
     }
 
-    /// Books a request.
+    /// Records a request.
     pub fn record_request(&mut self, now: Time) {
         self.step(now).requests += 1;
     }
 
-    /// Books an extra that happened already, such as a sending that the target refused.
+    /// Records an extra attempt that has already happened, such as one that the target refused.
     pub fn record_extra(&mut self, now: Time) {
         self.step(now).extras += 1;
     }
 
-    /// Books an extra if there may be another at one of `entries` entries.
+    /// Records an extra attempt if the budget of one of `entries` entries allows it, and returns
+    /// whether it does.
     #[must_use]
     pub fn try_spend(&mut self, entries: u32, now: Time) -> bool {
         self.step(now);
@@ -80,7 +83,7 @@
         allowed
     }
 
-    /// The step that `now` lies in; those that left the window are dropped.
+    /// Returns the current step and drops those that have left the window.
     fn step(&mut self, now: Time) -> &mut Step {
         let length = (self.settings.window / STEPS).max(Duration::from_millis(1));
         let number = now.as_nanos() / length.as_nanos();
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -1,90 +1,94 @@
-//! Which entry carries out a duty that one has at a time, by an append-only stream of records.
+//! Lease on a duty that one entry carries out at a time, held through an append-only stream of
+//! records.
 //!
-//! **Load pattern.** Holders are killed, frozen and cut off, and wake up again, while the duty falls due
-//! every few seconds. **Without it** two act at once or by turns, or none does. **How.** Each time the
-//! duty is due its holder appends a record on condition that the stream ends where it read it to, and may
-//! act for [`Settings::duration`] from before it began to append. Another entry takes over only when the duty
-//! is overdue and it has known the last record for longer than that and a lease: its own record, on the
-//! same condition, then shuts the holder before it out. Time only decides when to try; the stream's
-//! order decides who holds.
+//! **Load pattern.** Holders are killed, frozen and partitioned, and resume, while the duty is due
+//! every few seconds. **Without this**, two entries act at once or in turn, or none does.
+//! **Approach.** Each time the duty is due, its holder appends a record on condition that the
+//! stream ends where the holder has read it to. The holder may then act for [`Settings::duration`],
+//! counted from before the append. Another entry takes over only when the duty is overdue and it
+//! has known the last record for longer than that duration and a grace period. Its own record, on
+//! the same condition, then shuts out the previous holder. Time only decides when to try; the order
+//! of the stream decides who holds the lease.
 
 use crate::Time;
 use std::time::Duration;
 
-/// Settings of a tenure.
+/// Settings of a lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// For how long a holder acts on a record.
+    /// How long a holder may act after a record.
     pub duration: Duration,
-    /// How long nobody may act before another does.
+    /// How long after that no entry may act, before another takes over.
     pub grace: Duration,
-    /// How late the duty has to be for an entry to take over that comes next after the holder.
+    /// How long the duty has to be due before the first candidate takes over.
     pub overdue: Duration,
-    /// How much longer each one after it waits, so that they rarely race.
+    /// How much longer each further candidate waits, so that they rarely race.
     pub stagger: Duration,
 }
 
-/// What an entry knows of who holds the duty.
+/// What an entry knows about the holder of the lease.
 #[derive(Debug, Clone, Default)]
 pub struct Lease {
-    holding: Option<Holding>,
-    last: Option<Last>,
+    held: Option<Held>,
+    last_record: Option<LastRecord>,
 }
 
-/// The last record of another's that is known, and since when.
+/// The last known record of another entry, and since when it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Last {
+struct LastRecord {
     end: u64,
-    known: Time,
+    known_since: Time,
 }
 
-/// What this entry holds.
+/// The lease as held by this entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Holding {
-    fence: u64,
-    until: Time,
+struct Held {
+    fencing_token: u64,
+    expires_at: Time,
 }
 
 impl Lease {
-    /// Takes in that a record of another's stands before `end`.
+    /// Records that the stream contains a record of another entry that ends at `end`.
     pub fn observe_record(&mut self, end: u64, now: Time) {
-        if self.last.is_none_or(|last| last.end < end) {
-            self.last = Some(Last { end, known: now });
-            self.holding = None;
+        if self.last_record.is_none_or(|last| last.end < end) {
+            self.last_record = Some(LastRecord { end, known_since: now });
+            self.held = None;
         }
     }
 
-    /// Takes in that this entry's own record stands at `offset`; `began` is when it began to append.
-    pub fn renew(&mut self, settings: &Settings, offset: u64, began: Time) {
-        // Engines and platforms take 0 for no fence.
-        let fence = self.holding.map_or(offset + 1, |holding| holding.fence);
-        self.holding = Some(Holding { fence, until: began + settings.duration });
+    /// Acquires or renews the lease by this entry's own record at `offset`, whose append started at
+    /// `started_at`.
+    pub fn renew(&mut self, settings: &Settings, offset: u64, started_at: Time) {
+        // Engines and platforms interpret 0 as no fencing token.
+        let fencing_token = self.held.map_or(offset + 1, |held| held.fencing_token);
+        self.held = Some(Held { fencing_token, expires_at: started_at + settings.duration });
     }
 
-    /// Gives the duty up: somebody with a higher fence has acted.
+    /// Gives up the lease because another entry has acted with a higher fencing token.
     pub fn relinquish(&mut self, end: u64, now: Time) {
-        self.holding = None;
-        self.last = Some(Last { end, known: now });
+        self.held = None;
+        self.last_record = Some(LastRecord { end, known_since: now });
     }
 
-    /// Whether this entry held the duty last, as far as it knows.
+    /// Returns whether this entry is the last known holder, also if the lease has expired.
     pub fn is_held(&self) -> bool {
-        self.holding.is_some()
+        self.held.is_some()
     }
 
-    /// The fence under which this entry may act now.
+    /// Returns the fencing token with which this entry may act now.
     pub fn fencing_token(&self, now: Time) -> Option<u64> {
-        self.holding.filter(|holding| now < holding.until).map(|holding| holding.fence)
+        self.held.filter(|held| now < held.expires_at).map(|held| held.fencing_token)
     }
 
-    /// Whether the entry that is number `rank` among those that may hold the duty, counted from 0,
-    /// may append a record, if the duty has been due for `due`.
+    /// Returns whether this entry may append a record, if the duty has been due for `due`. `rank`
+    /// is its position among the candidates for the lease, counted from 0.
     pub fn may_claim(&self, settings: &Settings, rank: u32, due: Duration, now: Time) -> bool {
         if self.is_held() {
             return true;
         }
         let quiet = settings.duration + settings.grace;
-        let quiet = self.last.is_none_or(|last| now.saturating_sub(last.known) >= quiet);
+        let quiet =
+            self.last_record.is_none_or(|last| now.saturating_sub(last.known_since) >= quiet);
         quiet && due >= settings.overdue + settings.stagger * rank
     }
 }
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -1,37 +1,37 @@
-//! Which targets are slow or failing against their peers.
+//! Detects targets that are slow or failing compared to their peers.
 //!
 //! **Load pattern.** One engine of many runs ten times slower than its peers, or refuses all work
-//! within a millisecond. **Without it** the slow one keeps its share of the requests and they miss
-//! their deadlines; the failing one always looks idle, so least-load routing makes it the favourite
-//! and it swallows the traffic. **How.** For each target an average of its time per unit of work
-//! and of its failures is kept. A target whose time is a multiple of the peers' median, or that
-//! fails most attempts, is relieved: it gets no work but a probe now and then, at growing
-//! intervals. A probe that does well brings it back. At most a part of the fleet is relieved: if
-//! most are slow, none is an outlier.
+//! within a millisecond. **Without this**, the slow one keeps its share of the requests and they
+//! miss their deadlines. The failing one always looks idle, so least-load routing prefers it and it
+//! absorbs the traffic. **Approach.** For each target, an average of its time per unit of work and
+//! of its failures is kept. A target whose time is a multiple of its peers' median, or that fails
+//! most attempts, is ejected: it gets no work but a probe now and then, at growing intervals. A
+//! good probe readmits it. At most a share of the fleet is ejected: if most targets are slow, none
+//! is an outlier.
 
 use crate::number::float;
 use crate::{TargetId, Time};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Settings of the comparison.
+/// Settings of outlier detection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// A target slower than its peers' median by this factor is relieved. Batching alone makes
-    /// peers differ by a factor of 2.
+    /// Factor by which a target is ejected that is slower than its peers' median. Batching alone
+    /// makes peers differ by a factor of 2.
     pub slow_factor: f64,
-    /// A target that fails this share of its attempts is relieved.
+    /// Share of failed attempts above which a target is ejected.
     pub failure_share: f64,
-    /// Samples before a target is judged.
-    pub least_samples: u32,
-    /// The weight of a new sample in the averages: they forget within some ten samples.
+    /// Samples needed before a target can be ejected.
+    pub min_samples: u32,
+    /// Weight of a new sample in the averages, which span about ten samples.
     pub smoothing: f64,
-    /// The wait before the first probe; it doubles with each probe that does badly.
-    pub probe: Duration,
-    /// The longest wait between probes.
-    pub most_probe: Duration,
-    /// The largest share of all targets that is relieved at a time.
-    pub relieved_share: f64,
+    /// Time before the first probe; it doubles with each failed probe.
+    pub probe_interval: Duration,
+    /// Longest time between probes.
+    pub max_probe_interval: Duration,
+    /// Largest share of all targets that is ejected at a time.
+    pub max_ejected_share: f64,
 }
 
 impl Default for Settings {
@@ -39,55 +39,55 @@
         Self {
             slow_factor: 3.0,
             failure_share: 0.5,
-            least_samples: 5,
+            min_samples: 5,
             smoothing: 0.2,
-            probe: Duration::from_secs(5),
-            most_probe: Duration::from_secs(60),
-            relieved_share: 0.34,
+            probe_interval: Duration::from_secs(5),
+            max_probe_interval: Duration::from_secs(60),
+            max_ejected_share: 0.34,
         }
     }
 }
 
-/// How an attempt at a target went.
+/// The outcome of an attempt at a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Sample {
-    /// It ended, at this many seconds per unit of work; or for its part so far.
+    /// The attempt, or its part so far, completed at this speed.
     Completed {
-        /// Seconds for each unit, such as the time between tokens.
+        /// Seconds per unit of work, such as the time between tokens.
         seconds_per_unit: f64,
     },
-    /// The target failed. Refusals for want of room are no failures.
+    /// The target failed. Refusals for lack of capacity are not failures.
     Failed,
 }
 
-/// What a target may get.
+/// What work a target may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
-    /// Work like its peers.
+    /// The same as its peers.
     Normal,
-    /// One request, to see whether it has recovered; [`OutlierDetector::probe_sent`] books it.
+    /// One request, to check whether it has recovered. [`OutlierDetector::probe_sent`] records it.
     Probe,
-    /// No work.
+    /// None.
     Ejected,
 }
 
 #[derive(Debug, Default)]
 struct Record {
-    pace: f64,
-    paced: u32,
-    failures: f64,
+    seconds_per_unit: f64,
+    completed: u32,
+    failure_rate: f64,
     samples: u32,
-    relief: Option<Relief>,
+    ejection: Option<Ejection>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Relief {
+struct Ejection {
     next_probe: Time,
     interval: Duration,
     probing: bool,
 }
 
-/// Compares targets with their peers.
+/// Compares targets with their peers and ejects outliers.
 #[derive(Debug, Default)]
 pub struct OutlierDetector {
     settings: Settings,
@@ -95,117 +95,117 @@
 }
 
 impl OutlierDetector {
-    /// Makes a comparison without samples.
+    /// Creates a detector without samples.
     pub fn new(settings: Settings) -> Self {
         Self { settings, records: HashMap::new() }
     }
 
-    /// Takes in how an attempt went.
+    /// Records the outcome of an attempt.
     pub fn sample(&mut self, target: &TargetId, sample: Sample, now: Time) {
         let smoothing = self.settings.smoothing;
         let record = self.records.entry(target.clone()).or_default();
         record.add(sample, smoothing);
         let median = self.median_except(target);
-        let crowded = self.is_crowded();
+        let limit_reached = self.is_limit_reached();
         let settings = &self.settings;
         let Some(record) = self.records.get_mut(target) else { return };
-        match record.relief {
-            Some(relief) if relief.probing => {
-                record.judge_probe(relief, sample, median, settings, now);
+        match record.ejection {
+            Some(ejection) if ejection.probing => {
+                record.finish_probe(ejection, sample, median, settings, now);
             }
             Some(_) => {}
-            None if !crowded && record.is_outlier(median, settings) => {
-                let interval = settings.probe;
+            None if !limit_reached && record.is_outlier(median, settings) => {
+                let interval = settings.probe_interval;
                 let next_probe = now + interval;
-                record.relief = Some(Relief { next_probe, interval, probing: false });
+                record.ejection = Some(Ejection { next_probe, interval, probing: false });
             }
             None => {}
         }
     }
 
-    /// What the target may get now.
+    /// Returns what work the target may get now.
     pub fn status(&self, target: &str, now: Time) -> Status {
-        match self.records.get(target).and_then(|record| record.relief) {
+        match self.records.get(target).and_then(|record| record.ejection) {
             None => Status::Normal,
-            Some(relief) if now >= relief.next_probe => Status::Probe,
+            Some(ejection) if now >= ejection.next_probe => Status::Probe,
             Some(_) => Status::Ejected,
         }
     }
 
-    /// Books that a probe is sent: no other goes out before the next interval.
+    /// Records that a probe is sent. No other is due before the next interval.
     pub fn probe_sent(&mut self, target: &str, now: Time) {
-        let most = self.settings.most_probe;
+        let max = self.settings.max_probe_interval;
         let record = self.records.get_mut(target);
-        if let Some(relief) = record.and_then(|record| record.relief.as_mut()) {
-            relief.probing = true;
-            relief.interval = (relief.interval * 2).min(most);
-            relief.next_probe = now + relief.interval;
+        if let Some(ejection) = record.and_then(|record| record.ejection.as_mut()) {
+            ejection.probing = true;
+            ejection.interval = (ejection.interval * 2).min(max);
+            ejection.next_probe = now + ejection.interval;
         }
     }
 
-    /// Forgets a target that has left or was replaced.
+    /// Drops the state of a target that has left or was replaced.
     pub fn forget(&mut self, target: &str) {
         self.records.remove(target);
     }
 
-    /// How many targets are relieved.
+    /// Returns the number of ejected targets.
     pub fn ejected(&self) -> usize {
-        self.records.values().filter(|record| record.relief.is_some()).count()
+        self.records.values().filter(|record| record.ejection.is_some()).count()
     }
 
-    fn is_crowded(&self) -> bool {
+    fn is_limit_reached(&self) -> bool {
         let count = |n: usize| float(u64::try_from(n).unwrap_or(u64::MAX));
-        count(self.ejected() + 1) > count(self.records.len()) * self.settings.relieved_share
+        count(self.ejected() + 1) > count(self.records.len()) * self.settings.max_ejected_share
     }
 
-    /// The median pace of the other targets that work, if there are any.
+    /// Returns the median seconds per unit of the other targets that are not ejected, if any.
     fn median_except(&self, target: &str) -> Option<f64> {
-        let least = self.settings.least_samples;
+        let min = self.settings.min_samples;
         let peers = self.records.iter().filter(|(name, record)| {
-            name.as_str() != target && record.relief.is_none() && record.paced >= least
+            name.as_str() != target && record.ejection.is_none() && record.completed >= min
         });
-        let mut paces: Vec<f64> = peers.map(|(_, record)| record.pace).collect();
-        paces.sort_by(f64::total_cmp);
-        paces.get(paces.len() / 2).copied()
+        let mut times: Vec<f64> = peers.map(|(_, record)| record.seconds_per_unit).collect();
+        times.sort_by(f64::total_cmp);
+        times.get(times.len() / 2).copied()
     }
 }
 
 impl Record {
     fn add(&mut self, sample: Sample, smoothing: f64) {
         let failed = match sample {
-            Sample::Completed { seconds_per_unit: pace } => {
-                self.paced = self.paced.saturating_add(1);
-                let weight = smoothing.max(1.0 / f64::from(self.paced));
-                self.pace += (pace - self.pace) * weight;
+            Sample::Completed { seconds_per_unit } => {
+                self.completed = self.completed.saturating_add(1);
+                let weight = smoothing.max(1.0 / f64::from(self.completed));
+                self.seconds_per_unit += (seconds_per_unit - self.seconds_per_unit) * weight;
                 0.0
             }
             Sample::Failed => 1.0,
         };
         self.samples = self.samples.saturating_add(1);
         let weight = smoothing.max(1.0 / f64::from(self.samples));
-        self.failures += (failed - self.failures) * weight;
+        self.failure_rate += (failed - self.failure_rate) * weight;
     }
 
     fn is_outlier(&self, median: Option<f64>, settings: &Settings) -> bool {
         let failing =
-            self.samples >= settings.least_samples && self.failures > settings.failure_share;
-        let slow = self.paced >= settings.least_samples
-            && median.is_some_and(|median| self.pace > median * settings.slow_factor);
+            self.samples >= settings.min_samples && self.failure_rate > settings.failure_share;
+        let slow = self.completed >= settings.min_samples
+            && median.is_some_and(|median| self.seconds_per_unit > median * settings.slow_factor);
         failing || slow
     }
 
-    /// Takes the target back after a good probe, with its averages begun anew.
-    fn judge_probe(
+    /// Readmits the target after a good probe and resets its averages.
+    fn finish_probe(
         &mut self,
-        relief: Relief,
+        ejection: Ejection,
         sample: Sample,
         median: Option<f64>,
         settings: &Settings,
         now: Time,
     ) {
         let good = match sample {
-            Sample::Completed { seconds_per_unit: pace } => {
-                median.is_none_or(|median| pace <= median * settings.slow_factor)
+            Sample::Completed { seconds_per_unit } => {
+                median.is_none_or(|median| seconds_per_unit <= median * settings.slow_factor)
             }
             Sample::Failed => false,
         };
@@ -213,7 +213,7 @@
             *self = Record::default();
             return;
         }
-        let next_probe = now + relief.interval;
-        self.relief = Some(Relief { next_probe, probing: false, ..relief });
+        let next_probe = now + ejection.interval;
+        self.ejection = Some(Ejection { next_probe, probing: false, ..ejection });
     }
 }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,10 +1,10 @@
-//! Whether a failed attempt may be tried again, and when.
+//! Decides whether a failed attempt may be retried, and when.
 //!
-//! **Load pattern.** A failure domain blinks, thousands of attempts fail in the same second, and
-//! all are tried again. **Without it** the retries are a second crowd on top of the first, and
-//! their failures a third. **How.** Retries are paid from budgets that requests fill: a tenth of a
-//! retry for each request, for the caller and for the target that failed. Both must afford it.
-//! Whether a call may be repeated at all is decided before, by its progress.
+//! **Load pattern.** A failure domain fails for a moment, thousands of attempts fail in the same
+//! second, and all are retried. **Without this**, the retries are a second burst on top of the
+//! first, and their failures a third. **Approach.** Retries are paid from budgets that requests
+//! fill: each request earns a tenth of a retry, for the caller and for the target. Both budgets
+//! must cover a retry. Whether a call may be repeated at all is decided before, by its progress.
 
 use crate::number::{float, span, unit};
 use crate::{CallerId, TargetId, Time};
@@ -16,17 +16,17 @@
 /// Settings of retries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Retries earned by each request: a retry storm adds at most this share of the load.
+    /// Retries earned per request. A retry storm adds at most this share of the load.
     pub ratio: f64,
-    /// Retries saved up at most, and held at the start: what runs in the 16 slots of one target,
-    /// so that its crash costs nobody an answer.
+    /// Maximum and initial balance of a budget, in retries. It covers the requests in the 16 slots
+    /// of one target, so that its crash costs no caller its response.
     pub burst: f64,
-    /// Attempts of one request at most, the first included.
-    pub attempts: u32,
-    /// The wait before the first retry at most; it doubles with each.
+    /// Maximum attempts per request, including the first.
+    pub max_attempts: u32,
+    /// Upper bound of the wait before the first retry. It doubles with each retry.
     pub backoff: Duration,
-    /// The longest wait.
-    pub most_backoff: Duration,
+    /// Upper bound of all waits.
+    pub max_backoff: Duration,
 }
 
 impl Default for Settings {
@@ -34,52 +34,52 @@
         Self {
             ratio: 0.1,
             burst: 16.0,
-            attempts: 3,
+            max_attempts: 3,
             backoff: Duration::from_millis(50),
-            most_backoff: Duration::from_secs(1),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
 
-/// The budgets of all callers and targets at one entry.
+/// The retry budgets of all callers and targets at one entry.
 #[derive(Debug, Default)]
 pub struct Budget {
     settings: Settings,
-    callers: HashMap<CallerId, Purse>,
-    targets: HashMap<TargetId, Purse>,
+    callers: HashMap<CallerId, TokenBucket>,
+    targets: HashMap<TargetId, TokenBucket>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Purse {
+struct TokenBucket {
     retries: f64,
-    used: Time,
+    used_at: Time,
 }
 
-/// Purses kept for callers, and for targets, before those not used for an hour are forgotten.
-const MAX_PURSES: usize = 8_192;
+/// Number of buckets of callers, and of targets, from which idle ones are dropped.
+const MAX_BUCKETS: usize = 8_192;
 
-/// After this time without use a purse may be forgotten.
+/// Time without use from which a bucket is idle and may be dropped.
 const IDLE: Duration = Duration::from_secs(3_600);
 
 impl Budget {
-    /// Makes full budgets.
+    /// Creates full budgets.
     pub fn new(settings: Settings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Books a first attempt of `caller` at `target`, which earns a part of a retry.
+    /// Records a first attempt of `caller` at `target`, which earns a fraction of a retry.
     pub fn earn(&mut self, caller: &CallerId, target: &TargetId, now: Time) {
         let Settings { ratio, burst, .. } = self.settings;
-        for purse in [
-            purse(&mut self.callers, caller, burst, now),
-            purse(&mut self.targets, target, burst, now),
+        for bucket in [
+            bucket(&mut self.callers, caller, burst, now),
+            bucket(&mut self.targets, target, burst, now),
         ] {
-            purse.retries = (purse.retries + ratio).min(burst);
+            bucket.retries = (bucket.retries + ratio).min(burst);
         }
     }
 
-    /// Pays for a retry after `attempts` attempts, the last of which failed at `target`, and tells
-    /// how long to wait before it; `None` if there is to be no retry.
+    /// Pays for a retry after `attempts` attempts, the last of which failed at `target`, and
+    /// returns how long to wait before it; `None` if the request must not be retried.
     pub fn spend(
         &mut self,
         caller: &CallerId,
@@ -88,12 +88,12 @@
         now: Time,
         rng: &mut dyn Rng,
     ) -> Option<Duration> {
-        if attempts >= self.settings.attempts {
+        if attempts >= self.settings.max_attempts {
             return None;
         }
         let burst = self.settings.burst;
-        let by_caller = purse(&mut self.callers, caller, burst, now);
-        let by_target = purse(&mut self.targets, target, burst, now);
+        let by_caller = bucket(&mut self.callers, caller, burst, now);
+        let by_target = bucket(&mut self.targets, target, burst, now);
         if by_caller.retries < 1.0 || by_target.retries < 1.0 {
             return None;
         }
@@ -102,24 +102,24 @@
         Some(self.backoff(attempts, rng))
     }
 
-    /// A wait between 0 and a bound that doubles: full jitter spreads a storm best.
+    /// Returns a random wait between 0 and a bound that doubles. Full jitter spreads a storm best.
     fn backoff(&self, attempts: u32, rng: &mut dyn Rng) -> Duration {
         let doubled = float(1 << attempts.saturating_sub(1).min(20));
         let bound = self.settings.backoff.as_secs_f64() * doubled;
-        span(bound.min(self.settings.most_backoff.as_secs_f64()) * unit(rng))
+        span(bound.min(self.settings.max_backoff.as_secs_f64()) * unit(rng))
     }
 }
 
-fn purse<'a, K: Hash + Eq + Clone>(
-    purses: &'a mut HashMap<K, Purse>,
+fn bucket<'a, K: Hash + Eq + Clone>(
+    buckets: &'a mut HashMap<K, TokenBucket>,
     key: &K,
     burst: f64,
     now: Time,
-) -> &'a mut Purse {
-    if purses.len() >= MAX_PURSES {
-        purses.retain(|_, purse| now.saturating_sub(purse.used) < IDLE);
+) -> &'a mut TokenBucket {
+    if buckets.len() >= MAX_BUCKETS {
+        buckets.retain(|_, bucket| now.saturating_sub(bucket.used_at) < IDLE);
     }
-    let purse = purses.entry(key.clone()).or_insert(Purse { retries: burst, used: now });
-    purse.used = now;
-    purse
+    let bucket = buckets.entry(key.clone()).or_insert(TokenBucket { retries: burst, used_at: now });
+    bucket.used_at = now;
+    bucket
 }
