--- a/crates/policy/src/clock.rs
+++ b/crates/policy/src/clock.rs
@@ -1,15 +1,15 @@
-//! The true time of day, by the clocks of many VMs.
+//! Estimates the true time of day from the clocks of many VMs.
 //!
-//! **Load pattern.** The time of day jumps on some VMs by seconds or hours, and back; others are off by
-//! milliseconds. **Without it** what such an entry counts lands in windows of another time. **How.** Each
-//! entry compares the others' time of day with its own steady clock; the median of the differences is
-//! right as long as more than half of the clocks are.
+//! **Load pattern.** The time of day jumps on some VMs by seconds or hours, and back, and others
+//! are off by milliseconds. **Without this**, such an entry counts usage in the wrong windows.
+//! **Approach.** Each entry compares the time of day of the others with its own monotonic clock.
+//! The median of the differences is right as long as more than half of the clocks are.
 
-/// A span between two clocks in microseconds, positive if the other is ahead.
+/// Difference between two clocks in microseconds, positive if the other clock is ahead.
 pub type Offset = i64;
 
-/// The median of the differences between the clocks of many entries and a steady clock; of an even
-/// number the higher one of the middle, since a message on its way makes a clock look late.
+/// Returns the median of the differences between the clocks of many entries and a monotonic clock.
+/// Of an even number it is the upper median, since network latency makes a clock look late.
 pub fn median(offsets: &mut [Offset]) -> Option<Offset> {
     if offsets.is_empty() {
         return None;
--- a/crates/policy/src/connect_timeout.rs
+++ b/crates/policy/src/connect_timeout.rs
@@ -1,54 +1,60 @@
-//! How long a connection that is being opened is waited for.
+//! Determines how long an entry waits for a connection to open.
 //!
-//! **Load pattern.** Connections to targets are answered within a few milliseconds; some targets go dark,
-//! and answer nothing until others have noticed. **Without it** each first try at a dark target waits for
-//! a time that suits the slowest network, longer than a caller's objective. **How.** The longest that
-//! connections to one failure domain took lately, several times over, is waited for; where they take longer,
-//! more. Where none has succeeded for a while the network itself may have turned slow, and it is waited as
-//! long as at first.
+//! **Load pattern.** Connections to targets open within a few milliseconds; some targets stop
+//! responding and accept nothing until others have noticed. **Without this**, each first attempt at
+//! such a target waits for a time-out that suits the slowest network, longer than a caller's
+//! objective. **Approach.** The time-out is a multiple of the longest recent connect time to the
+//! same failure domain. Where no connection has succeeded for a while, the network itself may have
+//! become slow, and the initial time-out applies.
 
 use crate::{Hash, Time};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How many times the longest of late is waited for.
-const TIMES: u32 = 5;
+/// Time-out as a multiple of the longest recent connect time.
+const FACTOR: u32 = 5;
 
-/// How much of the longest is left when another connection was faster.
-const KEPT: f64 = 0.98;
+/// Factor by which the longest connect time decays with each faster connection.
+const DECAY: f64 = 0.98;
 
-/// At least so long: a busy process sees an answer late.
-const LEAST: Duration = Duration::from_millis(60);
+/// Shortest time-out: a busy process notices an open connection late.
+const MIN_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// At most so long, and where nothing is known.
-const MOST: Duration = Duration::from_millis(400);
+/// Longest time-out, and the initial one.
+const MAX_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// After this time without a connection that succeeded nothing is known any more.
-const FORGOTTEN: Duration = Duration::from_secs(2);
+/// Time without a successful connection after which earlier connect times no longer count.
+const EXPIRY: Duration = Duration::from_secs(2);
 
-/// What connections to each failure domain took lately.
+/// Recent connect times by failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectTimeouts {
-    domains: HashMap<Hash, Seen>,
+    domains: HashMap<Hash, ConnectTime>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct ConnectTime {
     longest: Duration,
-    last: Time,
+    measured_at: Time,
 }
 
 impl ConnectTimeouts {
-    /// Takes in how long it took to open one.
-    pub fn sample(&mut self, domain: Hash, took: Duration, now: Time) {
-        let seen = self.domains.entry(domain).or_insert(Seen { longest: took, last: now });
-        *seen = Seen { longest: seen.longest.mul_f64(KEPT).max(took), last: now };
+    /// Records how long it took to open a connection.
+    pub fn sample(&mut self, domain: Hash, connect_time: Duration, now: Time) {
+        let known = self
+            .domains
+            .entry(domain)
+            .or_insert(ConnectTime { longest: connect_time, measured_at: now });
+        *known = ConnectTime {
+            longest: known.longest.mul_f64(DECAY).max(connect_time),
+            measured_at: now,
+        };
     }
 
-    /// How long the next one is waited for.
+    /// Returns the time-out of the next connection attempt.
     pub fn timeout(&self, domain: Hash, now: Time) -> Duration {
-        let seen = self.domains.get(&domain);
-        let seen = seen.filter(|seen| now.saturating_sub(seen.last) < FORGOTTEN);
-        seen.map_or(MOST, |seen| (seen.longest * TIMES).clamp(LEAST, MOST))
+        let known = self.domains.get(&domain);
+        let known = known.filter(|known| now.saturating_sub(known.measured_at) < EXPIRY);
+        known.map_or(MAX_TIMEOUT, |known| (known.longest * FACTOR).clamp(MIN_TIMEOUT, MAX_TIMEOUT))
     }
 }
--- a/crates/policy/src/drain.rs
+++ b/crates/policy/src/drain.rs
@@ -1,46 +1,47 @@
-//! Whether a target may get new work.
+//! Decides whether a target may get new work.
 //!
-//! **Load pattern.** Targets leave every day, and the news comes by three roads of different
-//! speed: the configuration, the platform's lagging list of VMs, and the agent's own word.
-//! **Without it** an entry that goes by one road alone sends work to a target that is about to
-//! stop, and the caller sees a cut or a needless refusal. **How.** A target gets new work only if
-//! no road says that it leaves; the most pessimistic wins, and silence takes nobody out, because
-//! the list of VMs lags and may be down. What runs is left to finish.
+//! **Load pattern.** Targets leave every day, and that becomes known through three channels of
+//! different speed: the configuration, the platform's lagging list of VMs, and the agent's own load
+//! reports. **Without this**, an entry that uses one channel alone sends work to a target that is
+//! about to stop, and the caller sees a broken response or an unnecessary refusal. **Approach.** A
+//! target gets new work only if no channel shows that it leaves. A missing report takes no target
+//! out of service, because the list of VMs lags and may be unavailable. Running requests are left
+//! to finish.
 
 use conf::resource::Phase;
 
-/// The platform's word about a target's VM.
+/// State of a target's VM according to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum VmState {
-    /// Its list does not name the VM, or could not be read.
+    /// The platform's list does not contain the VM, or could not be read.
     #[default]
     Unknown,
-    /// It lives.
+    /// The VM is running.
     Live,
-    /// It will be stopped.
+    /// The VM will be stopped.
     Leaving,
 }
 
-/// All that an entry has heard about whether a target stays.
+/// What an entry knows about whether a target stays in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lifecycle {
-    /// What operators configured.
+    /// The phase that operators configured.
     pub phase: Phase,
-    /// What the platform's list says.
+    /// The state of its VM in the platform's list.
     pub vm: VmState,
-    /// What the agent said last, if anything.
+    /// Whether the target accepts work, as last reported by its agent, if at all.
     pub accepting: Option<bool>,
 }
 
-/// Whether a target may get new work.
-pub fn accepts_work(news: &Lifecycle) -> bool {
-    let configured = match news.phase {
+/// Returns whether a target may get new work.
+pub fn accepts_work(lifecycle: &Lifecycle) -> bool {
+    let configured = match lifecycle.phase {
         Phase::Active => true,
         Phase::Joining | Phase::Leaving => false,
     };
-    let stays = match news.vm {
+    let stays = match lifecycle.vm {
         VmState::Unknown | VmState::Live => true,
         VmState::Leaving => false,
     };
-    configured && stays && news.accepting.unwrap_or(true)
+    configured && stays && lifecycle.accepting.unwrap_or(true)
 }
--- a/crates/policy/src/number.rs
+++ b/crates/policy/src/number.rs
@@ -1,38 +1,39 @@
-//! Conversions between token counts and floating point, which `as` would do silently.
+//! Conversions between token counts and floating point, in place of silent `as` casts.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// A count as a float; counts of tokens stay far under 2^52, so nothing is lost.
+/// Converts a count to a float. Token counts stay far below 2^52, so no precision is lost.
 pub(crate) fn float(count: u64) -> f64 {
     count as f64
 }
 
-/// A float as a count, rounded; negative and undefined become 0, too large becomes the largest.
+/// Rounds a float to a count. Negative values and NaN become 0, values too large become the
+/// maximum.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a cast from float to integer saturates, and undefined becomes 0"
+    reason = "a cast from float to integer saturates, and NaN becomes 0"
 )]
 pub(crate) fn count(value: f64) -> u64 {
     value.round() as u64
 }
 
-/// The longest span that a decision deals with; longer ones are cut to it.
-const LONGEST: Duration = Duration::from_secs(24 * 3600);
+/// Longest duration that decisions use; longer ones are clamped to it.
+const MAX_SPAN: Duration = Duration::from_secs(24 * 3600);
 
-/// Seconds as a span between 0 and a day; undefined becomes a day.
+/// Converts seconds to a duration between 0 and a day. NaN becomes a day.
 pub(crate) fn span(seconds: f64) -> Duration {
-    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(LONGEST).min(LONGEST)
+    Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(MAX_SPAN).min(MAX_SPAN)
 }
 
-/// A random number from 0 up to 1.
+/// Returns a random number in the range [0, 1).
 pub(crate) fn unit(rng: &mut dyn Rng) -> f64 {
     const BITS: u32 = 53;
     float(rng.next_u64() >> (u64::BITS - BITS)) / float(1 << BITS)
 }
 
-/// A random index under `len`, which must not be 0.
+/// Returns a random index below `len`, which must not be 0.
 pub(crate) fn below(len: usize, rng: &mut dyn Rng) -> usize {
     let len = u64::try_from(len).unwrap_or(u64::MAX).max(1);
     let product = u128::from(rng.next_u64()) * u128::from(len);
--- a/crates/policy/src/reservations.rs
+++ b/crates/policy/src/reservations.rs
@@ -1,57 +1,58 @@
-//! What is booked at one engine, tokens to be read or streams, as the entry knows that grants it.
+//! Reservations at one engine, in prompt tokens or streams, as kept by the entry that grants them.
 //!
-//! **Load pattern.** Prompts of all entries go to one engine, hundreds a second to a pool, and each
-//! entry says by datagram when its prompt was read. **Without it** a coordinator would have to guess
-//! from the time that passed. **How.** A grant books the prompt's tokens, and the word that it was
-//! read ends the booking. That word may be lost, and the entry that was granted may be killed: a
-//! booking that nobody ends lapses.
+//! **Load pattern.** Prompts of all entries go to one engine, hundreds per second to a pool, and
+//! each entry reports by datagram when its prompt was prefilled. **Without this**, a coordinator
+//! would have to estimate the queue from the time that has passed. **Approach.** A grant reserves
+//! the prompt's tokens, and the report that it was prefilled releases them. The report may be lost
+//! and the entry may be killed, so a reservation that is not released expires.
 
 use crate::Time;
 use std::time::Duration;
 
-/// A booking that nobody has ended lapses after this time. The longest prompts take a second to be
-/// read; one of usual size that is counted a second too long makes its engine look 3% busier.
-const LAPSE: Duration = Duration::from_millis(1_500);
+/// Time after which a reservation that was not released expires. The longest prompts take a second
+/// to prefill; one of typical size that counts for a second too long makes its engine look 3%
+/// busier.
+const EXPIRY: Duration = Duration::from_millis(1_500);
 
-/// The name of a booking, given by the entry that asked for it.
+/// Identifies a reservation; chosen by the entry that requests it.
 pub type ReservationId = u64;
 
-/// What is booked at one engine.
+/// The reservations at one engine.
 #[derive(Debug, Clone, Default)]
 pub struct Reservations {
-    booked: Vec<Booking>,
+    active: Vec<Reservation>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Booking {
+struct Reservation {
     id: ReservationId,
     amount: u64,
-    lapses: Time,
+    expires_at: Time,
 }
 
 impl Reservations {
-    /// Books a prompt of which `tokens` are to be read.
+    /// Reserves `tokens` prompt tokens for the default time.
     pub fn reserve(&mut self, id: ReservationId, tokens: u64, now: Time) {
-        self.reserve_for(id, tokens, now, LAPSE);
+        self.reserve_for(id, tokens, now, EXPIRY);
     }
 
-    /// Books this much for so long at most.
+    /// Reserves an amount for at most `span`.
     pub fn reserve_for(&mut self, id: ReservationId, amount: u64, now: Time, span: Duration) {
-        self.booked.push(Booking { id, amount, lapses: now + span });
+        self.active.push(Reservation { id, amount, expires_at: now + span });
     }
 
-    /// Ends a booking; `false` if there is none of this name.
+    /// Releases a reservation; `false` if there is none with this id.
     pub fn release(&mut self, id: ReservationId) -> bool {
-        let Some(at) = self.booked.iter().position(|booking| booking.id == id) else {
+        let Some(at) = self.active.iter().position(|reservation| reservation.id == id) else {
             return false;
         };
-        self.booked.swap_remove(at);
+        self.active.swap_remove(at);
         true
     }
 
-    /// How much is booked.
+    /// Returns the total reserved amount.
     pub fn total(&mut self, now: Time) -> u64 {
-        self.booked.retain(|booking| now < booking.lapses);
-        self.booked.iter().map(|booking| booking.amount).sum()
+        self.active.retain(|reservation| now < reservation.expires_at);
+        self.active.iter().map(|reservation| reservation.amount).sum()
     }
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,14 +1,14 @@
-//! Which targets a request goes to.
+//! Chooses the targets that a request is sent to.
 //!
-//! **Load pattern.** 390 entries choose among 700 targets at 4,700 requests a second, each from
-//! news of its own age; many prompts share a prefix that some target has cached; domains fail and
-//! fill unevenly. **Without it** (round robin, least connections) long prompts pile up on one
-//! target, caches are missed, all entries run to the target that looked idle a second ago, and a
-//! domain that is full keeps its callers while its neighbour is idle. **How.** [`Weighted`] takes
-//! the able targets, estimates the wait at each in seconds of work, lets stale estimates decay to
-//! the mean, adds the price of leaving the own failure domain, and takes the least of a few drawn
-//! at random; a prompt with a shared prefix goes to the first target in rendezvous order that is
-//! not loaded far beyond the mean.
+//! **Load pattern.** 390 entries choose among 700 targets at 4,700 requests per second, each by
+//! reports of a different age. Many prompts share a prefix that some target has cached, and failure
+//! domains fail and fill unevenly. **Without this** (round robin, least connections), long prompts
+//! pile up on one target, caches are missed, all entries choose the target that looked idle a
+//! second ago, and a full failure domain keeps its callers while its neighbour is idle.
+//! **Approach.** [`Weighted`] estimates the wait at each eligible target in seconds of work, lets
+//! stale estimates decay to the mean, adds a cost for leaving the own failure domain, and takes the
+//! smallest of a few drawn at random. A prompt with a shared prefix goes to the first target in
+//! rendezvous order that is not loaded far beyond the mean.
 
 mod baseline;
 mod weighted;
@@ -21,23 +21,23 @@
 use conf::resource::Role;
 use rand::Rng;
 
-/// The load of a target, as it said last.
+/// The load of a target, as last reported.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// The work there, waiting and running.
+    /// Waiting and running work.
     pub cost: Cost,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that may run side by side.
+    /// Requests that may run concurrently.
     pub slots: u32,
-    /// What it does in a second.
+    /// Token rates of the target.
     pub rates: Rates,
 }
 
-/// A target as an entry knows it. The entry keeps one for each target and changes it as news
-/// comes, so that a decision copies nothing.
+/// A target as known to an entry. The entry keeps one for each target and updates it in place, so
+/// that a decision copies nothing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// Its name.
@@ -46,25 +46,25 @@
     pub key: Hash,
     /// The hash of its failure domain.
     pub domain: Hash,
-    /// The hashes of all it serves: each model with version and adapter, or a service.
+    /// The hashes of all names that it serves: each model with version and adapter, or a service.
     pub serves: Vec<Hash>,
     /// Its role.
     pub role: Role,
-    /// Whether it may get work: see [`crate::drain`] and [`crate::outlier`].
+    /// Whether it may get work, see [`crate::drain`] and [`crate::outlier`].
     pub usable: bool,
-    /// Its load.
+    /// Its last reported load.
     pub load: Load,
-    /// When that load was true, if it ever was heard.
+    /// When that load was reported, if any was.
     pub reported_at: Option<Time>,
-    /// What this entry sent there since, which the load doesn't hold yet.
+    /// Work that this entry has sent there since, which the reported load does not include.
     pub sent: Cost,
-    /// The wait that follows, in seconds; worked out by [`Candidate::update_load`] and
-    /// [`Candidate::record_sent`], since a decision looks at hundreds of candidates.
+    /// Estimated wait in seconds. It is computed by [`Candidate::update_load`] and
+    /// [`Candidate::record_sent`], since a decision compares hundreds of candidates.
     wait: f64,
 }
 
 impl Candidate {
-    /// Makes a usable target without load, of which nothing was heard.
+    /// Creates a usable candidate without a reported load.
     pub fn new(name: &str, domain: &str, serves: Vec<Hash>) -> Self {
         Self {
             name: name.into(),
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Takes in the load that it told at `now`.
+    /// Records a load that was reported at `now`.
     pub fn update_load(&mut self, load: Load, now: Time) {
         self.load = load;
         self.reported_at = Some(now);
@@ -88,17 +88,17 @@
         self.wait = self.estimate();
     }
 
-    /// Books work sent there.
+    /// Records work sent to the target.
     pub fn record_sent(&mut self, cost: Cost) {
         self.sent += cost;
         self.wait = self.estimate();
     }
 
-    /// The estimated seconds until a request sent there now would have its first token, and a part
-    /// of the time that its output would take from others.
+    /// Returns the estimated seconds until the first token of a request sent there now, plus a
+    /// share of the time that its output would take from others.
     ///
-    /// While slots are free it waits for the prompts that are read only. What is being written
-    /// delays it the more slots are taken.
+    /// While slots are free, a request waits only for queued prefill. Output in progress delays it
+    /// more the more slots are in use.
     pub fn wait(&self) -> f64 {
         self.wait
     }
@@ -107,13 +107,13 @@
         let load = &self.load;
         let cost = load.cost + self.sent;
         let requests = f64::from(load.running + load.waiting);
-        let filled = requests / f64::from(load.slots.max(1));
-        let reading = Cost::new(cost.prefill, 0).seconds(&load.rates);
-        let writing = Cost::new(0, cost.decode).seconds(&load.rates);
-        reading + writing * filled.min(1.0)
+        let slot_usage = requests / f64::from(load.slots.max(1));
+        let prefill = Cost::new(cost.prefill, 0).seconds(&load.rates);
+        let decode = Cost::new(0, cost.decode).seconds(&load.rates);
+        prefill + decode * slot_usage.min(1.0)
     }
 
-    /// Whether it can do this query's stage of the work.
+    /// Returns whether the target can serve this query.
     pub fn can_serve(&self, query: &Query) -> bool {
         let stage = match (query.stage, self.role) {
             (_, Role::Mixed) | (Stage::Prefill, Role::Prefill) | (Stage::Decode, Role::Decode) => {
@@ -126,59 +126,60 @@
     }
 }
 
-/// Which stage of a request a target is wanted for.
+/// The stage of a request that a target is chosen for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Stage {
-    /// Prompt and output.
+    /// Prefill and decode.
     #[default]
     Whole,
-    /// The prompt; its KV cache is handed on.
+    /// Prefill, after which the KV cache is transferred.
     Prefill,
-    /// The output, from KV cache that was handed on.
+    /// Decode, from a transferred KV cache.
     Decode,
 }
 
-/// What is looked for.
+/// What a target is chosen for.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Query {
-    /// The hash of what it needs served, as in [`Candidate::serves`].
+    /// The hash of the name that must be served, as in [`Candidate::serves`].
     pub serves: Hash,
-    /// Its predicted work.
+    /// The predicted work of the request.
     pub cost: Cost,
-    /// The hash of the prefix that it shares with others, or 0.
+    /// The hash of the prefix that the prompt shares with others, or 0.
     pub prefix: Hash,
-    /// The hash of the failure domain that it comes from.
+    /// The hash of the entry's own failure domain.
     pub domain: Hash,
-    /// The stage wanted.
+    /// The stage to serve.
     pub stage: Stage,
 }
 
-/// The targets chosen, by their index.
+/// The chosen targets, by index.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Choice {
-    /// The best.
+    /// The best target.
     pub first: usize,
-    /// The one for late binding or a retry, if there is another.
+    /// The target for late binding or a retry, if there is a second one.
     pub second: Option<usize>,
-    /// Whether the best is in another failure domain although its own has able targets.
+    /// Whether the best target is in another failure domain although the own one has eligible
+    /// targets.
     pub spilled: bool,
-    /// Whether the best was chosen for the prefix.
+    /// Whether the best target was chosen for the prefix.
     pub affine: bool,
 }
 
 impl Choice {
-    /// The indexes chosen, the best first.
+    /// Returns the chosen indexes, the best first.
     pub fn indexes(&self) -> impl Iterator<Item = usize> {
         [Some(self.first), self.second].into_iter().flatten()
     }
 }
 
-/// A way of choosing targets.
+/// A routing policy.
 pub trait Route: Send {
-    /// The way's name in settings and tables.
+    /// Returns the name of the policy in settings and tables.
     fn name(&self) -> &'static str;
 
-    /// Chooses among the able candidates; `None` if there are none.
+    /// Chooses among the candidates that can serve the query; `None` if there are none.
     fn choose(
         &mut self,
         query: &Query,
--- a/crates/policy/src/route/baseline.rs
+++ b/crates/policy/src/route/baseline.rs
@@ -1,16 +1,16 @@
-//! Ways of choosing that others use, for comparison.
+//! Common routing policies, for comparison.
 
 use super::{Candidate, Choice, Query, Route};
 use crate::Time;
 use rand::Rng;
 
-/// Takes the able targets in turn.
+/// Chooses the eligible targets in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     turn: usize,
 }
 
-/// Takes the able target with the fewest requests.
+/// Chooses the eligible target with the fewest requests.
 #[derive(Debug, Default)]
 pub struct LeastConnections {
     turn: usize,
@@ -28,8 +28,8 @@
         _: Time,
         _: &mut dyn Rng,
     ) -> Option<Choice> {
-        let able = in_turn(&mut self.turn, query, candidates).next();
-        able.map(alone)
+        let eligible = in_turn(&mut self.turn, query, candidates).next();
+        eligible.map(single)
     }
 }
 
@@ -45,27 +45,27 @@
         _: Time,
         _: &mut dyn Rng,
     ) -> Option<Choice> {
-        let able = in_turn(&mut self.turn, query, candidates);
+        let eligible = in_turn(&mut self.turn, query, candidates);
         let requests = |index: &usize| {
             let load = &candidates[*index].load;
             load.running + load.waiting
         };
-        able.min_by_key(requests).map(alone)
+        eligible.min_by_key(requests).map(single)
     }
 }
 
-/// The able candidates, beginning after the one that began last, so that ties alternate.
+/// Returns the eligible candidates, starting one further with each call, so that ties alternate.
 fn in_turn<'a>(
     turn: &mut usize,
     query: &'a Query,
     candidates: &'a [Candidate],
 ) -> impl Iterator<Item = usize> + 'a {
     *turn = turn.wrapping_add(1);
-    let begin = *turn % candidates.len().max(1);
-    let indexes = (begin..candidates.len()).chain(0..begin);
+    let start = *turn % candidates.len().max(1);
+    let indexes = (start..candidates.len()).chain(0..start);
     indexes.filter(|&index| candidates[index].can_serve(query))
 }
 
-fn alone(first: usize) -> Choice {
+fn single(first: usize) -> Choice {
     Choice { first, second: None, spilled: false, affine: false }
 }
--- a/crates/policy/src/route/weighted.rs
+++ b/crates/policy/src/route/weighted.rs
@@ -1,4 +1,5 @@
-//! Least estimated work among a few, own failure domain first, prefixes kept together.
+//! Routes to the least estimated wait among a few targets, with preference for the own failure
+//! domain and for targets that have the prefix cached.
 
 use super::{Candidate, Choice, Query, Route, Stage};
 use crate::estimate::Cost;
@@ -11,173 +12,201 @@
 /// Settings of [`Weighted`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Candidates compared. Two suffice against herding; four make up for slots of unequal work.
-    pub drawn: usize,
-    /// News of a load loses half of its weight in some 0.7 of this time, in favour of the mean.
-    /// An engine finishes a usual answer within a few seconds, and then the news is worthless.
-    pub memory: Duration,
-    /// How much longer a wait in the own failure domain may be before a request leaves it.
-    pub spill: Duration,
-    /// Waits that differ by less count as equal: nobody notices less than some tens of
+    /// Number of candidates compared. Two suffice against herding; four compensate for slots of
+    /// unequal work.
+    pub sample_size: usize,
+    /// Time constant of the age of a load report. A report loses half of its weight, in favour of
+    /// the mean, in about 0.7 of this time. An engine finishes a typical response within a few
+    /// seconds, and then the report is worthless.
+    pub report_lifetime: Duration,
+    /// How much longer the wait in the own failure domain may be before a request leaves it.
+    pub spill_threshold: Duration,
+    /// Waits that differ by less count as equal. Callers do not notice less than some tens of
     /// milliseconds.
     pub noise: Duration,
-    /// How far beyond the mean work a target may be loaded for the sake of a prefix.
-    pub bound: f64,
+    /// Factor of the mean work up to which a target may be loaded for the sake of a prefix.
+    pub prefix_bound: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            drawn: 4,
-            memory: Duration::from_secs(3),
-            spill: Duration::from_millis(250),
+            sample_size: 4,
+            report_lifetime: Duration::from_secs(3),
+            spill_threshold: Duration::from_millis(250),
             noise: Duration::from_millis(20),
-            bound: 1.25,
+            prefix_bound: 1.25,
         }
     }
 }
 
-/// Takes the least estimated wait of a few drawn at random.
+/// Chooses the smallest estimated wait among a few candidates drawn at random.
 #[derive(Debug, Default)]
 pub struct Weighted {
     settings: Settings,
-    /// The able candidates, those of the own failure domain first.
-    able: Vec<Able>,
-    homes: usize,
-    mean: f64,
+    /// The eligible candidates, those of the own failure domain first.
+    eligible: Vec<Eligible>,
+    /// How many of them are in the own failure domain.
+    local_count: usize,
+    mean_wait: f64,
 }
 
-/// An able candidate and the estimated wait there, as it was when last heard.
+/// A candidate that can serve the query, and the estimated wait there by its last report.
 #[derive(Debug, Clone, Copy)]
-struct Able {
+struct Eligible {
     index: usize,
     key: Hash,
     wait: f64,
-    heard: Option<Time>,
-    home: bool,
+    reported_at: Option<Time>,
+    is_local: bool,
     role: Role,
 }
 
 impl Weighted {
-    /// Makes the way with these settings.
+    /// Creates the policy with these settings.
     pub fn new(settings: Settings) -> Self {
         Self { settings, ..Self::default() }
     }
 
-    /// Collects the able candidates with their waits, and the mean.
+    /// Collects the eligible candidates with their waits, and the mean wait.
     fn collect(&mut self, query: &Query, candidates: &[Candidate]) {
-        self.able.clear();
-        self.homes = 0;
+        self.eligible.clear();
+        self.local_count = 0;
         let mut total = 0.0;
         for (index, candidate) in candidates.iter().enumerate() {
             if !candidate.can_serve(query) {
                 continue;
             }
-            let home = candidate.domain == query.domain;
+            let is_local = candidate.domain == query.domain;
             let wait = candidate.wait();
             total += wait;
-            let (key, heard, role) = (candidate.key, candidate.reported_at, candidate.role);
-            self.able.push(Able { index, key, wait, heard, home, role });
-            if home {
-                let last = self.able.len() - 1;
-                self.able.swap(self.homes, last);
-                self.homes += 1;
+            let (key, reported_at, role) = (candidate.key, candidate.reported_at, candidate.role);
+            self.eligible.push(Eligible { index, key, wait, reported_at, is_local, role });
+            if is_local {
+                let last = self.eligible.len() - 1;
+                self.eligible.swap(self.local_count, last);
+                self.local_count += 1;
             }
         }
-        self.mean = total / float(u64::try_from(self.able.len()).unwrap_or(1)).max(1.0);
+        self.mean_wait = total / float(u64::try_from(self.eligible.len()).unwrap_or(1)).max(1.0);
     }
 
-    /// The wait now: what was heard long ago says no more than the mean.
-    fn wait_now(&self, able: &Able, now: Time) -> f64 {
-        let age = able.heard.map_or(f64::INFINITY, |at| now.saturating_sub(at).as_secs_f64());
-        let weight = (-age / self.settings.memory.as_secs_f64()).exp();
-        self.mean + (able.wait - self.mean) * weight
+    /// Returns the estimated wait now. An old report counts no more than the mean.
+    fn wait_now(&self, candidate: &Eligible, now: Time) -> f64 {
+        let age =
+            candidate.reported_at.map_or(f64::INFINITY, |at| now.saturating_sub(at).as_secs_f64());
+        let weight = (-age / self.settings.report_lifetime.as_secs_f64()).exp();
+        self.mean_wait + (candidate.wait - self.mean_wait) * weight
     }
 
-    /// The wait with the price of leaving the own failure domain.
-    fn price(&self, able: &Able, now: Time) -> f64 {
-        let leaving = if able.home { 0.0 } else { self.settings.spill.as_secs_f64() };
-        self.wait_now(able, now) + leaving
+    /// Returns the wait plus the cost of leaving the own failure domain.
+    fn cost(&self, candidate: &Eligible, now: Time) -> f64 {
+        let leaving =
+            if candidate.is_local { 0.0 } else { self.settings.spill_threshold.as_secs_f64() };
+        self.wait_now(candidate, now) + leaving
     }
 
-    /// The least of a few drawn among those allowed, half of them from the own failure domain.
+    /// Draws a few of the allowed candidates, half of them from the own failure domain, and returns
+    /// the one with the lowest cost.
     ///
-    /// A difference too small to notice does not count, else all entries would still run to the
-    /// target that looked the least loaded when they last heard.
-    fn draw(&self, allow: impl Fn(&Able) -> bool, now: Time, rng: &mut dyn Rng) -> Option<Able> {
-        let (homes, away) = self.able.split_at(self.homes);
+    /// A difference too small to notice does not count. Otherwise all entries would still choose
+    /// the target that looked the least loaded in its last report.
+    fn draw(
+        &self,
+        allow: impl Fn(&Eligible) -> bool,
+        now: Time,
+        rng: &mut dyn Rng,
+    ) -> Option<Eligible> {
+        let (local, remote) = self.eligible.split_at(self.local_count);
         let noise = self.settings.noise.as_secs_f64();
-        let mut best: Option<(f64, Able)> = None;
-        for draw in 0..self.settings.drawn.max(1) {
-            let from =
-                if away.is_empty() || (draw % 2 == 0 && !homes.is_empty()) { homes } else { away };
+        let mut best: Option<(f64, Eligible)> = None;
+        for draw in 0..self.settings.sample_size.max(1) {
+            let from = if remote.is_empty() || (draw % 2 == 0 && !local.is_empty()) {
+                local
+            } else {
+                remote
+            };
             let Some(drawn) = draw_one(from, &allow, rng) else { continue };
-            let price = self.price(&drawn, now);
-            if best.is_none_or(|(least, _)| price < least - noise) {
-                best = Some((price, drawn));
+            let cost = self.cost(&drawn, now);
+            if best.is_none_or(|(lowest, _)| cost < lowest - noise) {
+                best = Some((cost, drawn));
             }
         }
-        best.map(|(_, able)| able)
+        best.map(|(_, candidate)| candidate)
     }
 
-    /// The one for late binding or a retry. Where prompts may be read by engines that do only that,
-    /// it is of the other role: a queue of each kind is fair by itself, and whichever of the two
-    /// kinds of engine is short then does not decide alone how long a caller waits.
-    fn second(&self, query: &Query, first: &Able, now: Time, rng: &mut dyn Rng) -> Option<Able> {
-        let differs = |able: &Able| able.index != first.index;
+    /// Chooses the target for late binding or a retry. Where prompts may go to prefill engines, it
+    /// has the other role: the queue of each role is fair by itself, and so the scarcer role alone
+    /// does not decide how long a caller waits.
+    fn second(
+        &self,
+        query: &Query,
+        first: &Eligible,
+        now: Time,
+        rng: &mut dyn Rng,
+    ) -> Option<Eligible> {
+        let differs = |other: &Eligible| other.index != first.index;
         let other_role = match query.stage {
-            Stage::Prefill => self.draw(|able| differs(able) && able.role != first.role, now, rng),
+            Stage::Prefill => {
+                self.draw(|other| differs(other) && other.role != first.role, now, rng)
+            }
             Stage::Whole | Stage::Decode => None,
         };
         other_role.or_else(|| self.draw(differs, now, rng))
     }
 
-    /// The first two targets in the prefix's rendezvous order that are not loaded far beyond the
-    /// mean.
+    /// Returns the first two targets in the rendezvous order of the prefix that are not loaded far
+    /// beyond the mean.
     ///
-    /// All entries find the same without talking, and a prefix that is too hot for its target
-    /// overflows to the next ones in order, so that a few targets cache it and not all. Each
-    /// failure domain keeps its own order only if reading the prompt again is cheaper than leaving
-    /// the domain: else a prefix would be cached once in every domain, and fewer fit.
-    fn affine(&self, query: &Query, candidates: &[Candidate], now: Time) -> [Option<Able>; 2] {
-        let mut best: [Option<(Rank, Able)>; 2] = [None; 2];
+    /// All entries find the same targets without communication. A prefix that is too hot for its
+    /// target overflows to the next ones in order, so that a few targets cache it and not all.
+    /// Targets of the own failure domain go first only if computing the prompt again is cheaper
+    /// than leaving the domain; otherwise a prefix would be cached once in every domain, and fewer
+    /// prefixes would fit.
+    fn affine(&self, query: &Query, candidates: &[Candidate], now: Time) -> [Option<Eligible>; 2] {
+        let mut best: [Option<(Rank, Eligible)>; 2] = [None; 2];
         if query.prefix == 0 {
             return [None; 2];
         }
-        let Some(any) = self.able.first() else { return [None; 2] };
-        let reading = Cost::new(query.cost.prefill, 0).seconds(&candidates[any.index].load.rates);
-        let stays = reading < self.settings.spill.as_secs_f64();
-        for able in &self.able {
-            let rank = (able.home && stays, mix(query.prefix, able.key));
-            let place = best.iter().position(|best| best.is_none_or(|(found, _)| rank > found));
-            let Some(place) = place else { continue };
-            let own = query.cost.seconds(&candidates[able.index].load.rates);
-            if self.wait_now(able, now) > (self.mean + own) * self.settings.bound {
+        let Some(any) = self.eligible.first() else { return [None; 2] };
+        let prefill = Cost::new(query.cost.prefill, 0).seconds(&candidates[any.index].load.rates);
+        let prefer_local = prefill < self.settings.spill_threshold.as_secs_f64();
+        for candidate in &self.eligible {
+            let rank = (candidate.is_local && prefer_local, mix(query.prefix, candidate.key));
+            let position = best.iter().position(|best| best.is_none_or(|(found, _)| rank > found));
+            let Some(position) = position else { continue };
+            let own = query.cost.seconds(&candidates[candidate.index].load.rates);
+            if self.wait_now(candidate, now) > (self.mean_wait + own) * self.settings.prefix_bound {
                 continue;
             }
-            if place == 0 {
+            if position == 0 {
                 best[1] = best[0];
             }
-            best[place] = Some((rank, *able));
+            best[position] = Some((rank, *candidate));
         }
-        best.map(|found| found.map(|(_, able)| able))
+        best.map(|found| found.map(|(_, candidate)| candidate))
     }
 }
 
-/// One of those allowed: a few tries at random, then the next in turn from a random place.
-fn draw_one(able: &[Able], allow: &impl Fn(&Able) -> bool, rng: &mut dyn Rng) -> Option<Able> {
+/// Draws one of the allowed candidates: a few random attempts, then the next allowed one from a
+/// random position.
+fn draw_one(
+    eligible: &[Eligible],
+    allow: &impl Fn(&Eligible) -> bool,
+    rng: &mut dyn Rng,
+) -> Option<Eligible> {
     const TRIES: usize = 4;
     for _ in 0..TRIES {
-        let drawn = able.get(below(able.len(), rng)).filter(|able| allow(able));
+        let drawn = eligible.get(below(eligible.len(), rng)).filter(|drawn| allow(drawn));
         if drawn.is_some() {
             return drawn.copied();
         }
     }
-    let (before, after) = able.split_at(below(able.len(), rng).min(able.len()));
-    after.iter().chain(before).find(|able| allow(able)).copied()
+    let (before, after) = eligible.split_at(below(eligible.len(), rng).min(eligible.len()));
+    after.iter().chain(before).find(|candidate| allow(candidate)).copied()
 }
 
-/// The place of a target in a prefix's order, the highest first.
+/// The position of a target in the order of a prefix, the highest first.
 type Rank = (bool, Hash);
 
 impl Route for Weighted {
@@ -198,8 +227,8 @@
         let second = if affine.is_some() { next } else { self.second(query, &first, now, rng) };
         Some(Choice {
             first: first.index,
-            second: second.map(|able| able.index),
-            spilled: self.homes > 0 && !first.home,
+            second: second.map(|candidate| candidate.index),
+            spilled: self.local_count > 0 && !first.is_local,
             affine: affine.is_some(),
         })
     }
--- a/crates/policy/src/subset.rs
+++ b/crates/policy/src/subset.rs
@@ -1,10 +1,10 @@
-//! Which agents an entry keeps connections to.
+//! Chooses the agents to which an entry keeps connections.
 //!
-//! **Load pattern.** 390 entries before 700 targets would be 273,000 connections, each with its
-//! pings. **Without it** an entry's 7 KB a second for control go to keeping in touch. **How.**
-//! Each entry keeps some targets of each failure domain, chosen by rendezvous hashing of the pair,
-//! so the choice is stable when others come and go. Among those it has heard from, routing still
-//! compares.
+//! **Load pattern.** 390 entries and 700 targets would need 273,000 connections, each with its
+//! pings. **Without this**, an entry's 7 KB/s for control traffic are spent on keeping connections
+//! alive. **Approach.** Each entry keeps some targets of each failure domain, chosen by rendezvous
+//! hashing of the pair, so the choice is stable when others join or leave. Among the targets that
+//! it gets reports from, routing still compares loads.
 
 use crate::{Hash, mix};
 use std::collections::BTreeMap;
@@ -12,9 +12,10 @@
 /// Settings of the subset.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Targets that an entry keeps in touch with. With 390 entries and 700 targets, 48 give each
-    /// target 27 entries, give or take 5. 64 were too many: a checkpoint of the configuration each
-    /// quarter of an hour takes 1.8 of the 7 KB/s for control, and they would take more than the rest.
+    /// Number of targets that an entry keeps connections to. With 390 entries and 700 targets, 48
+    /// give each target 27 entries, plus or minus 5. 64 are too many: a checkpoint of the
+    /// configuration each quarter of an hour takes 1.8 of the 7 KB/s for control, and the pings
+    /// would exceed the rest.
     pub targets: usize,
 }
 
@@ -24,7 +25,7 @@
     }
 }
 
-/// A target that could be kept.
+/// A target that an entry could keep a connection to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Member {
     /// The hash of its name.
@@ -33,10 +34,11 @@
     pub domain: Hash,
 }
 
-/// Chooses the indexes of the members that the entry with hash `entry` keeps, in rising order.
+/// Returns the indexes, in ascending order, of the members that the entry with hash `entry` keeps.
 ///
 /// All are chosen if there are no more than the settings allow. Otherwise each failure domain
-/// gives the same number, as far as it has that many, so losing one leaves the entry the rest.
+/// provides the same number, as far as it has that many, so losing one leaves the entry those of
+/// the others.
 pub fn choose(settings: &Settings, entry: Hash, members: &[Member]) -> Vec<usize> {
     if members.len() <= settings.targets {
         return (0..members.len()).collect();
