--- a/crates/policy/tests/clock.rs
+++ b/crates/policy/tests/clock.rs
@@ -1,11 +1,11 @@
-//! The true time by clocks of which some are wrong.
+//! Estimate of the true time when some clocks are wrong.
 
 use policy::clock::median;
 
-/// The time of day jumps by 40 minutes on a third of the VMs. Usage would be billed in windows that are
-/// long past, or not yet begun.
+/// The time of day jumps by 40 minutes on a third of the VMs. Usage would be billed in windows that
+/// have long ended or not yet begun.
 #[test]
-fn a_third_of_the_clocks_may_jump() {
+fn median_tolerates_jumps_of_a_third_of_the_clocks() {
     let mut offsets: Vec<i64> = (0..22).map(|entry| 1_000 + entry).collect();
     for offset in offsets.iter_mut().take(7) {
         *offset += 2_400_000_000;
--- a/crates/policy/tests/drain.rs
+++ b/crates/policy/tests/drain.rs
@@ -1,24 +1,24 @@
-//! Whether a target may get new work.
+//! Which targets may get new work.
 
 use conf::resource::Phase;
 use policy::drain::{Lifecycle, VmState, accepts_work};
 
-const STAYS: Lifecycle =
+const IN_SERVICE: Lifecycle =
     Lifecycle { phase: Phase::Active, vm: VmState::Live, accepting: Some(true) };
 
-// The news that a target leaves comes by three roads, each of which may lag. Whichever comes first
-// has to count.
+// That a target leaves becomes known through three channels, each of which may lag. Any of them has
+// to suffice.
 #[test]
-fn a_target_that_leaves_by_any_word_gets_no_new_work() {
-    assert!(accepts_work(&STAYS));
-    assert!(!accepts_work(&Lifecycle { phase: Phase::Leaving, ..STAYS }));
-    assert!(!accepts_work(&Lifecycle { phase: Phase::Joining, ..STAYS }));
-    assert!(!accepts_work(&Lifecycle { vm: VmState::Leaving, ..STAYS }));
-    assert!(!accepts_work(&Lifecycle { accepting: Some(false), ..STAYS }));
+fn leaving_by_any_channel_stops_new_work() {
+    assert!(accepts_work(&IN_SERVICE));
+    assert!(!accepts_work(&Lifecycle { phase: Phase::Leaving, ..IN_SERVICE }));
+    assert!(!accepts_work(&Lifecycle { phase: Phase::Joining, ..IN_SERVICE }));
+    assert!(!accepts_work(&Lifecycle { vm: VmState::Leaving, ..IN_SERVICE }));
+    assert!(!accepts_work(&Lifecycle { accepting: Some(false), ..IN_SERVICE }));
 }
 
-// The platform's list is down. That takes no target out of service.
+// The platform's list is unavailable. That must take no target out of service.
 #[test]
-fn silence_takes_nobody_out() {
-    assert!(accepts_work(&Lifecycle { vm: VmState::Unknown, accepting: None, ..STAYS }));
+fn missing_reports_take_no_target_out_of_service() {
+    assert!(accepts_work(&Lifecycle { vm: VmState::Unknown, accepting: None, ..IN_SERVICE }));
 }
--- a/crates/policy/tests/estimate.rs
+++ b/crates/policy/tests/estimate.rs
@@ -1,11 +1,11 @@
-//! Predictions of output lengths.
+//! Prediction of output lengths.
 
 use policy::estimate::{Estimator, Settings};
 
 // One caller asks for verdicts of 3 tokens and another for letters of 2,000, with the same limit
-// of 4,096. Counted by the limit, a verdict would be refused for want of room.
+// of 4,096. Estimated by the limit, a verdict would be refused for lack of capacity.
 #[test]
-fn lengths_are_learnt_for_each_caller() {
+fn lengths_are_learned_per_caller() {
     let mut estimator = Estimator::default();
     for _ in 0..60 {
         estimator.learn("relieve", "small", 3);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_new_caller_starts_from_what_the_model_does_for_others() {
+fn new_caller_starts_with_the_prediction_of_its_model() {
     let mut estimator = Estimator::default();
     (0..100).for_each(|i| estimator.learn(&format!("caller-{i}"), "small", 20));
     let cost = estimator.cost("new", "small", 10, 0);
@@ -28,16 +28,16 @@
 }
 
 #[test]
-fn prompts_that_engines_have_cached_cost_less() {
+fn cached_prompts_cost_less() {
     let mut estimator = Estimator::default();
     (0..60).for_each(|_| estimator.learn_cached("a", "small", 1_000, 900));
     let cost = estimator.cost("a", "small", 1_000, 0);
     assert!((95..=130).contains(&cost.prefill), "{cost:?}");
 }
 
-// Callers come and go for months. Without a bound the table of what was learnt fills the memory.
+// New callers appear for months. Without a bound, the table of pairs would fill the memory.
 #[test]
-fn what_is_remembered_is_bounded() {
+fn number_of_pairs_is_bounded() {
     let settings = Settings { pairs: 100, ..Settings::default() };
     let mut estimator = Estimator::new(settings);
     for i in 0..10_000 {
@@ -45,5 +45,8 @@
         estimator.learn("steady", "small", 900);
     }
     assert!(estimator.pairs() <= 200);
-    assert!(estimator.cost("steady", "small", 0, 0).decode > 600, "a steady caller is forgotten");
+    assert!(
+        estimator.cost("steady", "small", 0, 0).decode > 600,
+        "the pair of a steady caller was dropped"
+    );
 }
--- a/crates/policy/tests/extra_budget.rs
+++ b/crates/policy/tests/extra_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of extra sendings, over several entries.
+//! The budget of extra attempts over several entries.
 
 use policy::extra_budget::{ExtraBudget, Settings};
 use std::time::Duration;
@@ -9,10 +9,10 @@
     Settings { ratio: 0.2, allowance: 56.0, ..Settings::default() }
 }
 
-/// All targets of a service fail at once and each entry would repeat all it has. In no window may
-/// the extras of all entries go beyond the operators' bound.
+/// All targets of a service fail at once and each entry would repeat all its requests. In no budget
+/// may the extra attempts of all entries exceed the operators' bound.
 #[test]
-fn a_storm_at_all_entries_stays_within_the_bound() {
+fn retry_storm_at_all_entries_stays_within_the_bound() {
     let mut entries: Vec<_> = (0..ENTRIES).map(|_| ExtraBudget::new(settings())).collect();
     let mut extras: Vec<Duration> = Vec::new();
     let mut requests: Vec<Duration> = Vec::new();
@@ -28,9 +28,9 @@
             }
         }
     }
-    let window = Duration::from_secs(10);
+    let budget = Duration::from_secs(10);
     let count = |times: &[Duration], end: Duration| {
-        times.iter().filter(|at| **at <= end && **at + window > end).count() as f64
+        times.iter().filter(|at| **at <= end && **at + budget > end).count() as f64
     };
     for end in extras.iter().copied() {
         let bound = 0.2 * count(&requests, end) + 56.0;
@@ -40,18 +40,18 @@
 }
 
 #[test]
-fn a_quiet_service_has_its_part_of_the_allowance() {
-    let mut window = ExtraBudget::new(settings());
-    let spent = (0..100).filter(|_| window.try_spend(ENTRIES, Duration::from_secs(1))).count();
+fn service_without_requests_has_its_part_of_the_allowance() {
+    let mut budget = ExtraBudget::new(settings());
+    let spent = (0..100).filter(|_| budget.try_spend(ENTRIES, Duration::from_secs(1))).count();
     assert_eq!(spent, 8);
 }
 
 #[test]
-fn refused_sendings_count_though_nobody_asked() {
-    let mut window = ExtraBudget::new(settings());
+fn refused_attempts_count_unconditionally() {
+    let mut budget = ExtraBudget::new(settings());
     for _ in 0..20 {
-        window.record_extra(Duration::from_secs(1));
+        budget.record_extra(Duration::from_secs(1));
     }
-    assert!(!window.try_spend(ENTRIES, Duration::from_secs(2)));
-    assert!(window.try_spend(ENTRIES, Duration::from_secs(13)));
+    assert!(!budget.try_spend(ENTRIES, Duration::from_secs(2)));
+    assert!(budget.try_spend(ENTRIES, Duration::from_secs(13)));
 }
--- a/crates/policy/tests/groups.rs
+++ b/crates/policy/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Which entry coordinates which engines, and which groups are asked for a prompt.
+//! Groups of engines, their coordinators, and the order in which groups are asked.
 
 use policy::groups::{Engine, Entry, Settings, coordinators, divide, order};
 use policy::{hash, mix};
@@ -31,10 +31,10 @@
     }
 }
 
-/// A coordinator compares all engines of its group for each prompt. If groups grew with the pool, one
-/// entry before 700 engines would decide for 120 of them, and 800 prompts a second.
+/// A coordinator compares all engines of its group for each prompt. If groups grew with the pool,
+/// one entry in front of 700 engines would decide for 120 of them, for 800 prompts per second.
 #[test]
-fn groups_stay_small_however_many_engines_there_are() {
+fn group_size_is_bounded() {
     let most = |number, domains| {
         let groups = divide(&Settings::default(), &engines(number, domains));
         (groups.len(), groups.iter().map(|group| group.engines.len()).max().unwrap_or_default())
@@ -46,10 +46,10 @@
     assert!(largest <= 32, "{largest}");
 }
 
-/// An engine crashes, another joins. If that dealt all engines anew, every coordinator would lose what
-/// it knows of queues and kept parts.
+/// An engine crashes, another joins. If that reassigned all engines, every coordinator would lose
+/// what it knows about queues and caches.
 #[test]
-fn an_engine_that_comes_or_goes_leaves_the_groups_of_the_others() {
+fn a_change_of_one_engine_does_not_move_the_others() {
     let before = engines(48, 5);
     let of = |engines: &[Engine]| -> HashMap<u64, u64> {
         let groups = divide(&Settings::default(), engines);
@@ -62,16 +62,16 @@
 }
 
 #[test]
-fn two_entries_coordinate_a_group_and_a_single_one_does_alone() {
+fn a_group_has_a_coordinator_and_a_standby_if_there_are_two_entries() {
     assert_eq!(coordinators(7, &entries(68)).len(), 2);
     assert_eq!(coordinators(7, &entries(1)), [0]);
     assert_eq!(coordinators(7, &[]), [0; 0]);
 }
 
-/// The coordinator dies. The one that stood by knows what engines keep, and it has to be the one that
-/// all others now ask.
+/// The coordinator fails. The standby knows what engines have cached, so it has to be the one that
+/// all others ask next.
 #[test]
-fn who_stood_by_coordinates_when_the_first_is_gone() {
+fn standby_takes_over_when_the_coordinator_is_gone() {
     let entries = entries(68);
     for group in 0..50 {
         let both = coordinators(group, &entries);
@@ -83,20 +83,20 @@
 }
 
 /// Most VMs have a fifth of the others' processor and a tenth of their link. A small one that
-/// coordinated as often as a large one would answer late while it is busy.
+/// coordinated as many groups as a large one would respond late while it is busy.
 #[test]
-fn larger_vms_coordinate_more() {
+fn larger_vms_coordinate_more_groups() {
     let mut entries = entries(68);
     for entry in &mut entries[..15] {
         entry.weight = 10.0;
     }
     let large = (0..2_000).filter(|group| coordinators(*group, &entries)[0] < 15).count();
-    // 150 of 203 parts of the weight.
+    // Their share of the total weight is 150 of 203.
     assert!((1_350..1_600).contains(&large), "{large} of 2000");
 }
 
 #[test]
-fn prompts_with_the_same_start_ask_the_same_groups_first_and_others_spread() {
+fn prompts_are_spread_over_groups_by_their_prefix() {
     let groups: Vec<_> = (0..5).map(|at| mix(hash("group"), at)).collect();
     let mut first = HashMap::new();
     for start in 0..1_000 {
--- a/crates/policy/tests/link.rs
+++ b/crates/policy/tests/link.rs
@@ -1,11 +1,11 @@
-//! Large requests and an entry's small link.
+//! Large requests on the small link of an entry.
 
 use policy::link::{Link, Settings};
 use std::time::Duration;
 
 const OBJECTIVE: Duration = Duration::from_millis(250);
 
-/// Bytes a second of a link of 10 Mbit/s.
+/// Bytes per second of a link of 10 Mbit/s.
 const RATE: f64 = 1.25e6;
 
 /// A link of 10 Mbit/s.
@@ -13,32 +13,32 @@
     Link::new(Settings { bytes_per_second: RATE, ..Settings::default() })
 }
 
-/// The link itself: what was put on it leaves in that order, at its rate.
+/// The physical link: sends bytes in order at its rate.
 #[derive(Default)]
 struct Wire {
-    free: Duration,
+    idle_at: Duration,
 }
 
 impl Wire {
-    /// How long something that is sent now waits behind what is on its way.
-    fn waits(&self, now: Duration) -> Duration {
-        self.free.saturating_sub(now)
+    /// Returns how long bytes that are sent now wait behind those in flight.
+    fn wait(&self, now: Duration) -> Duration {
+        self.idle_at.saturating_sub(now)
     }
 
-    fn carry(&mut self, bytes: f64, now: Duration) {
-        self.free = self.free.max(now) + Duration::from_secs_f64(bytes / RATE);
+    fn send(&mut self, bytes: f64, now: Duration) {
+        self.idle_at = self.idle_at.max(now) + Duration::from_secs_f64(bytes / RATE);
     }
 }
 
-/// A burst brings 200 prompts a second of 9 KB, each sent twice, to an entry whose link carries 54.
-/// Unbounded, after a second what is sent would wait for 2.7 s.
+/// A burst brings 200 prompts of 9 KB per second, each sent twice, to an entry whose link carries
+/// 54. Without a bound, after one second what is sent would wait for 2.7 s.
 #[test]
-fn a_burst_through_a_small_link_waits_no_longer_than_its_share() {
+fn wait_on_a_small_link_is_bounded_in_a_burst() {
     let (mut link, mut sent) = (small(), 0);
     for step in 0..200 {
         let now = Duration::from_millis(step * 5);
-        if let Ok(waits) = link.reserve(18_400, OBJECTIVE, now) {
-            assert!(waits <= OBJECTIVE / 3, "{waits:?}");
+        if let Ok(wait) = link.reserve(18_400, OBJECTIVE, now) {
+            assert!(wait <= OBJECTIVE / 3, "{wait:?}");
             sent += 1;
         }
     }
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn an_empty_link_takes_a_request_of_any_size() {
+fn idle_link_accepts_a_request_of_any_size() {
     assert_eq!(small().reserve(4_000_000, OBJECTIVE, Duration::ZERO), Ok(Duration::ZERO));
 }
 
 #[test]
-fn a_large_link_refuses_nothing_in_the_same_burst() {
+fn large_link_accepts_the_same_burst() {
     let mut link = Link::new(Settings::default());
     for step in 0..200 {
         let now = Duration::from_millis(step * 5);
@@ -59,34 +59,36 @@
     }
 }
 
-/// Before a prompt is sent, another entry is asked where. Behind prompts that wait for a quarter of the
-/// objective the question is answered too late, and the engine that was promised stays empty.
+/// Before a prompt is sent, its coordinator is asked for an engine. Behind prompts that wait for a
+/// quarter of the objective, that request would be answered too late, and the reserved engine would
+/// stay idle.
 #[test]
-fn a_question_gets_through_a_full_link_within_a_tenth_of_the_objective() {
+fn small_messages_pass_a_busy_link_within_an_eighth_of_the_objective() {
     let (mut link, mut wire, mut longest) = (small(), Wire::default(), Duration::ZERO);
     let mut due: Vec<Duration> = Vec::new();
     for now in (0..1_000).map(Duration::from_millis) {
-        longest = longest.max(wire.waits(now));
+        longest = longest.max(wire.wait(now));
         if now.as_millis() % 5 == 0
-            && let Ok(waits) = link.reserve(9_200, OBJECTIVE, now)
+            && let Ok(wait) = link.reserve(9_200, OBJECTIVE, now)
         {
-            due.push(now + waits);
+            due.push(now + wait);
         }
         due.retain(|at| {
-            let goes = *at <= now;
-            if goes {
-                wire.carry(9_200.0, now);
+            let is_due = *at <= now;
+            if is_due {
+                wire.send(9_200.0, now);
             }
-            !goes
+            !is_due
         });
     }
     assert!(longest <= OBJECTIVE / 8, "{longest:?}");
 }
 
-/// A wave of half a second asks for an eighth more than the link carries, and the time before and after it
-/// for half. Refused at an eighth of the objective, callers go away while the link is about to be free.
+/// A wave of half a second needs an eighth more than the link carries, and the time before and
+/// after it half. If requests were refused after an eighth of the objective, callers would be
+/// rejected while the link is about to be idle.
 #[test]
-fn a_short_wave_is_taken_in_turns() {
+fn short_wave_is_queued() {
     let (mut link, mut refused) = (small(), 0);
     let mut now = Duration::ZERO;
     while now < Duration::from_millis(1_500) {
@@ -97,7 +99,8 @@
     assert!(refused <= 1, "{refused} refused");
 }
 
-/// Urgent requests of a few bytes come between prompts of 9 KB, and neither wait nor are refused.
+/// Urgent requests of a few bytes arrive between prompts of 9 KB. They must neither wait nor be
+/// refused.
 #[test]
 fn small_requests_never_wait_for_large_ones() {
     let mut link = small();
@@ -108,9 +111,9 @@
     }
 }
 
-/// A prompt that found no engine was not sent: its turn is free for the next.
+/// A prompt that found no engine was not sent, so its turn has to be available to the next one.
 #[test]
-fn what_is_not_sent_is_given_back() {
+fn unsent_bytes_are_released() {
     let mut link = small();
     for _ in 0..100 {
         assert!(link.reserve(18_400, OBJECTIVE, Duration::ZERO).is_ok());
--- a/crates/policy/tests/outlier.rs
+++ b/crates/policy/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Slow and failing targets.
+//! Detection of slow and failing targets.
 
 use policy::TargetId;
 use policy::outlier::{OutlierDetector, Sample, Status};
@@ -12,7 +12,7 @@
     format!("engine-{index}").into()
 }
 
-/// Ten targets that work, of which those in `odd` behave otherwise.
+/// Ten targets with equal samples, except those in `odd`, which get `sample`.
 fn fleet(odd: &[usize], sample: Sample) -> OutlierDetector {
     let mut outliers = OutlierDetector::default();
     for _ in 0..10 {
@@ -24,10 +24,10 @@
     outliers
 }
 
-// One engine runs ten times slower than its peers and still answers. Each request it gets misses
-// its deadline.
+// One engine runs ten times slower than its peers and still responds. Each request that it gets
+// misses its deadline.
 #[test]
-fn a_slow_target_is_relieved_and_probed_back() {
+fn slow_target_is_ejected_and_readmitted_by_a_probe() {
     let slow = Sample::Completed { seconds_per_unit: 10.0 };
     let mut outliers = fleet(&[3], slow);
     assert_eq!(outliers.status(&name(3), at(1)), Status::Ejected);
@@ -44,17 +44,17 @@
 }
 
 // An engine refuses everything within a millisecond, so it always looks idle, and routing by load
-// alone sends it all there is.
+// alone sends it all requests.
 #[test]
-fn a_target_that_fails_fast_is_relieved() {
+fn failing_target_is_ejected() {
     let outliers = fleet(&[3], Sample::Failed);
     assert_eq!(outliers.status(&name(3), at(1)), Status::Ejected);
 }
 
-// A crowd makes all engines slow, or a switch fails most attempts. Relieving them all would leave
-// nothing to serve with.
+// A burst makes all engines slow, or a network switch fails most attempts. If all were ejected, no
+// engine would be left.
 #[test]
-fn at_most_a_third_of_the_fleet_is_relieved() {
+fn at_most_a_third_of_the_fleet_is_ejected() {
     assert_eq!(fleet(&[0, 1, 2, 3, 4, 5], Sample::Failed).ejected(), 3);
     assert_eq!(
         fleet(&[0, 1, 2, 3, 4, 5, 6, 7, 8, 9], Sample::Completed { seconds_per_unit: 50.0 })
