--- a/crates/policy/tests/prefill.rs
+++ b/crates/policy/tests/prefill.rs
@@ -1,4 +1,4 @@
-//! Where prompts are read.
+//! Placement of prefill.
 
 use policy::prefill::{
     Placement, PrefillCandidate, PrefillRate, Prompt, Settings, place, retry_after,
@@ -7,7 +7,7 @@
 
 const ENTRIES: u32 = 1;
 
-fn reader(key: u64) -> PrefillCandidate {
+fn candidate(key: u64) -> PrefillCandidate {
     PrefillCandidate {
         key: policy::hash(&key.to_string()),
         decodes: false,
@@ -19,8 +19,8 @@
     }
 }
 
-fn prompt(start: u64) -> Prompt {
-    Prompt { prefix_hash: start, tokens: 9_000, objective: Duration::from_millis(150), late: false }
+fn prompt(prefix_hash: u64) -> Prompt {
+    Prompt { prefix_hash, tokens: 9_000, objective: Duration::from_millis(150), late: false }
 }
 
 fn at(place: Placement) -> Option<usize> {
@@ -31,13 +31,15 @@
 }
 
 #[test]
-fn prompts_with_the_same_start_have_one_home() {
-    let readers: Vec<_> = (0..8).map(reader).collect();
+fn prompts_with_the_same_prefix_have_one_home() {
+    let candidates: Vec<_> = (0..8).map(candidate).collect();
     let settings = Settings::default();
-    let homes: Vec<_> =
-        (0..100).map(|start| at(place(&settings, &prompt(start), &readers, ENTRIES))).collect();
-    let again: Vec<_> =
-        (0..100).map(|start| at(place(&settings, &prompt(start), &readers, ENTRIES))).collect();
+    let homes: Vec<_> = (0..100)
+        .map(|prefix| at(place(&settings, &prompt(prefix), &candidates, ENTRIES)))
+        .collect();
+    let again: Vec<_> = (0..100)
+        .map(|prefix| at(place(&settings, &prompt(prefix), &candidates, ENTRIES)))
+        .collect();
     assert_eq!(homes, again);
     for home in 0..8 {
         assert!(homes.iter().filter(|at| **at == Some(home)).count() >= 4, "{homes:?}");
@@ -45,106 +47,113 @@
 }
 
 #[test]
-fn a_full_home_passes_the_prompt_on_with_what_it_keeps() {
-    let mut readers: Vec<_> = (0..4).map(reader).collect();
+fn full_home_passes_the_prompt_on_as_the_source_of_a_copy() {
+    let mut candidates: Vec<_> = (0..4).map(candidate).collect();
     let settings = Settings::default();
-    let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
-    readers[home].queued_tokens = 40_000;
-    readers[home].cached_tokens = 6_000;
-    let next = place(&settings, &prompt(5), &readers, ENTRIES);
+    let home = at(place(&settings, &prompt(5), &candidates, ENTRIES)).unwrap();
+    candidates[home].queued_tokens = 40_000;
+    candidates[home].cached_tokens = 6_000;
+    let next = place(&settings, &prompt(5), &candidates, ENTRIES);
     let at = at(next).filter(|at| *at != home).expect("another engine has room");
     assert_eq!(next, Placement::Prefill { at, copy_from: Some(home), tokens: 3_000 });
 }
 
-/// Engines that write took the parts of a prompt over with its KV cache, and the home has lost them
-/// to other prompts. Read again, they take ten times as long as a copy.
+/// Decode engines got the parts of a prompt with its KV cache, and the home has evicted them for
+/// other prompts. Computing them again takes ten times as long as a copy.
 #[test]
-fn the_start_is_copied_from_whichever_engine_keeps_most_of_it() {
-    let mut readers: Vec<_> = (0..5).map(reader).collect();
+fn prefix_is_copied_from_the_engine_with_most_of_it() {
+    let mut candidates: Vec<_> = (0..5).map(candidate).collect();
     let settings = Settings::default();
-    let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
-    for holder in (0..5).filter(|at| *at != home) {
-        readers[holder].decodes = true;
-        readers[holder].cached_tokens = 6_000;
+    let home = at(place(&settings, &prompt(5), &candidates, ENTRIES)).unwrap();
+    for source in (0..5).filter(|at| *at != home) {
+        candidates[source].decodes = true;
+        candidates[source].cached_tokens = 6_000;
     }
-    readers[home].cached_tokens = 2_500;
+    candidates[home].cached_tokens = 2_500;
     let Placement::Prefill { at, copy_from: Some(from), tokens } =
-        place(&settings, &prompt(5), &readers, ENTRIES)
+        place(&settings, &prompt(5), &candidates, ENTRIES)
     else {
-        panic!("it was not copied");
+        panic!("the prefix was not copied");
     };
-    assert_eq!((at, tokens, readers[from].domain), (home, 3_000, readers[home].domain));
-    readers[home].cached_tokens = 5_900;
-    let place = place(&settings, &prompt(5), &readers, ENTRIES);
+    assert_eq!((at, tokens, candidates[from].domain), (home, 3_000, candidates[home].domain));
+    candidates[home].cached_tokens = 5_900;
+    let place = place(&settings, &prompt(5), &candidates, ENTRIES);
     assert_eq!(place, Placement::Prefill { at: home, copy_from: None, tokens: 3_100 });
 }
 
-/// In a burst those that were refused come back, and their objective has passed. Let in like fresh
-/// ones, each takes the place of one that could still be in time.
+/// In a burst, refused requests are retried when their objective has passed. If they were treated
+/// like first attempts, each would displace one that could still be in time.
 #[test]
-fn prompts_that_are_late_already_are_let_in_only_where_the_queue_is_short() {
-    let mut readers: Vec<_> = (0..4).map(reader).collect();
-    for reader in &mut readers {
-        reader.queued_tokens = 8_000;
+fn late_prompts_are_placed_only_where_the_queue_is_short() {
+    let mut candidates: Vec<_> = (0..4).map(candidate).collect();
+    for candidate in &mut candidates {
+        candidate.queued_tokens = 8_000;
     }
     let settings = Settings::default();
-    assert!(at(place(&settings, &prompt(5), &readers, ENTRIES)).is_some());
+    assert!(at(place(&settings, &prompt(5), &candidates, ENTRIES)).is_some());
     let late = Prompt { late: true, ..prompt(5) };
-    assert_eq!(at(place(&settings, &late, &readers, ENTRIES)), None);
-    readers[0].queued_tokens = 0;
-    assert_eq!(at(place(&settings, &late, &readers, ENTRIES)), Some(0));
+    assert_eq!(at(place(&settings, &late, &candidates, ENTRIES)), None);
+    candidates[0].queued_tokens = 0;
+    assert_eq!(at(place(&settings, &late, &candidates, ENTRIES)), Some(0));
 }
 
-/// Hundreds of callers are refused in one second of a burst and may come back once. All told the
-/// same short time they meet again, and are refused for good.
+/// Hundreds of callers are refused in one second of a burst and may retry once. With the same short
+/// Retry-After they would all return together and be refused for good.
 #[test]
-fn refused_callers_come_back_spread_over_the_time_that_they_honour() {
+fn retries_are_spread_over_the_time_that_callers_wait() {
     let settings = Settings::default();
-    let back = |soonest, random| {
+    let retry = |soonest, random| {
         retry_after(&settings, Duration::from_millis(soonest), Duration::from_millis(1_800), random)
     };
-    let times = [back(75, 0.0), back(75, 0.5), back(75, 1.0), back(450, 0.0), back(5_000, 0.0)];
+    let times =
+        [retry(75, 0.0), retry(75, 0.5), retry(75, 1.0), retry(450, 0.0), retry(5_000, 0.0)];
     assert_eq!(times.map(|time| time.as_millis()), [300, 450, 600, 450, 600]);
-    let patient = retry_after(&settings, Duration::ZERO, Duration::from_secs(60), 1.0);
-    assert_eq!(patient, Duration::from_secs(1), "who waits a minute is not sent away for long");
+    let long_wait = retry_after(&settings, Duration::ZERO, Duration::from_secs(60), 1.0);
+    assert_eq!(
+        long_wait,
+        Duration::from_secs(1),
+        "Retry-After is bounded for callers that wait a minute"
+    );
 }
 
-/// The links of two engines are slow, and what they read leaves them late. Their queues look short,
-/// so they would get even more prompts, and copies from them would hold up the others.
+/// The link of an engine is slow, so its KV caches are transferred late. Its queue looks short, so
+/// it would get even more prompts, and copies from it would delay other engines.
 #[test]
-fn engines_with_slow_links_read_and_lend_less() {
+fn engine_with_a_slow_link_gets_no_prompt_and_is_no_source() {
     let settings = Settings::default();
-    let mut readers: Vec<_> = (0..4).map(reader).collect();
-    let home = at(place(&settings, &prompt(5), &readers, ENTRIES)).unwrap();
-    readers[home].cached_tokens = 6_000;
-    readers[home].transfer_excess = Duration::from_millis(90);
-    let Placement::Prefill { at, copy_from, .. } = place(&settings, &prompt(5), &readers, ENTRIES)
+    let mut candidates: Vec<_> = (0..4).map(candidate).collect();
+    let home = at(place(&settings, &prompt(5), &candidates, ENTRIES)).unwrap();
+    candidates[home].cached_tokens = 6_000;
+    candidates[home].transfer_excess = Duration::from_millis(90);
+    let Placement::Prefill { at, copy_from, .. } =
+        place(&settings, &prompt(5), &candidates, ENTRIES)
     else {
-        panic!("others have room");
+        panic!("another engine has room");
     };
     assert!(at != home && copy_from.is_none());
-    readers[home].transfer_excess = Duration::from_millis(10);
-    assert_eq!(self::at(place(&settings, &prompt(5), &readers, ENTRIES)), Some(home));
+    candidates[home].transfer_excess = Duration::from_millis(10);
+    assert_eq!(self::at(place(&settings, &prompt(5), &candidates, ENTRIES)), Some(home));
 }
 
-/// In a burst all engines have more to read than fits into the objective. A prompt that joined them
-/// would be late and make those behind it late.
+/// In a burst, all engines have more queued than fits into the objective. Another prompt would be
+/// late and make those behind it late.
 #[test]
-fn a_prompt_that_fits_nowhere_is_refused_at_once_with_a_time() {
-    let mut readers: Vec<_> = (0..4).map(reader).collect();
-    for reader in &mut readers {
-        reader.queued_tokens = 60_000;
+fn prompt_that_fits_nowhere_is_refused_with_a_time() {
+    let mut candidates: Vec<_> = (0..4).map(candidate).collect();
+    for candidate in &mut candidates {
+        candidate.queued_tokens = 60_000;
     }
-    let Placement::Full(back) = place(&Settings::default(), &prompt(5), &readers, ENTRIES) else {
-        panic!("it was placed");
+    let Placement::Full(after) = place(&Settings::default(), &prompt(5), &candidates, ENTRIES)
+    else {
+        panic!("the prompt was placed");
     };
-    assert!(back > Duration::from_millis(50) && back < Duration::from_millis(250), "{back:?}");
+    assert!(after > Duration::from_millis(50) && after < Duration::from_millis(250), "{after:?}");
 }
 
 #[test]
-fn an_idle_engine_takes_a_prompt_of_any_size() {
+fn idle_engine_accepts_a_prompt_of_any_size() {
     let huge = Prompt { tokens: 200_000, ..prompt(1) };
-    assert!(at(place(&Settings::default(), &huge, &[reader(1)], 27)).is_some());
+    assert!(at(place(&Settings::default(), &huge, &[candidate(1)], 27)).is_some());
 }
 
 #[test]
@@ -152,25 +161,25 @@
     assert_eq!(at(place(&Settings::default(), &prompt(1), &[], ENTRIES)), None);
 }
 
-/// Engines read at a third of the rate assumed. Without learning it, three times too much is let in
-/// and nearly all of it is late.
+/// Engines prefill at a third of the assumed rate. If the rate were not learned, three times too
+/// much would be accepted and nearly all of it late.
 #[test]
-fn the_reading_rate_is_learnt_though_a_third_of_the_samples_is_far_off() {
+fn rate_is_learned_despite_a_third_of_wrong_samples() {
     let mut rate = PrefillRate::new(300_000.0);
     for number in 0..400u32 {
         let tokens = 4_000 + u64::from(number % 7) * 1_000;
         let seconds = tokens as f64 / 100_000.0;
-        // Now and then the engine kept nearly all of it, and nobody knew.
+        // Now and then the engine had nearly all of the prompt cached, unknown to the entry.
         let seconds = if number % 3 == 0 { seconds / 10.0 } else { seconds };
         rate.sample(tokens, Duration::from_secs_f64(seconds) + Duration::from_millis(5));
     }
     assert!((90_000.0..115_000.0).contains(&rate.get()), "{}", rate.get());
 }
 
-/// Engines read at a fifth of the rate assumed, and for the first four seconds of every process all
-/// that it let in came a second late. A few prompts say so.
+/// Engines prefill at a fifth of the assumed rate. For the first four seconds of every process, all
+/// that it accepted was a second late. A few prompts have to suffice to correct the rate.
 #[test]
-fn a_rate_that_is_wrong_by_five_is_right_after_some_prompts() {
+fn initial_rate_wrong_by_five_is_corrected_after_some_prompts() {
     let mut rate = PrefillRate::new(300_000.0);
     for _ in 0..16 {
         rate.sample(9_000, Duration::from_secs_f64(9_000.0 / 60_000.0) + Duration::from_millis(5));
@@ -179,10 +188,10 @@
     assert!((48_000.0..75_000.0).contains(&rate.get()), "{}", rate.get());
 }
 
-/// An entry that starts beside others takes over what they have learnt, and a single prompt that
-/// was kept without its knowing does not move it.
+/// An entry that starts takes over the rate that others have learned. A single prompt that was
+/// cached without its knowledge must change it little.
 #[test]
-fn a_rate_taken_over_is_known_at_once_and_moves_slowly() {
+fn rate_from_another_entry_is_reliable_and_changes_slowly() {
     let mut rate = PrefillRate::learned(60_000.0);
     assert!(rate.is_learned());
     rate.sample(9_000, Duration::from_millis(10));
@@ -190,7 +199,7 @@
 }
 
 #[test]
-fn short_prompts_say_nothing_of_the_rate() {
+fn short_prompts_do_not_change_the_rate() {
     let mut rate = PrefillRate::new(300_000.0);
     for _ in 0..100 {
         rate.sample(200, Duration::from_millis(20));
@@ -198,45 +207,48 @@
     assert_eq!(rate.get(), 300_000.0);
 }
 
-/// Short prompts of a lower rank wait behind hundreds of long ones of a higher rank, for what takes
-/// a thousandth of their objective.
+/// Short prompts of low priority would wait behind hundreds of long ones of high priority, for a
+/// prefill that takes a small part of their objective.
 #[test]
-fn short_prompts_are_read_first_and_long_ones_by_rank() {
+fn short_prompts_go_first_and_long_ones_by_priority() {
     let settings = Settings::default();
-    let urgency = |tokens, rank| policy::prefill::priority(&settings, tokens, rank);
+    let priority = |tokens, request| policy::prefill::priority(&settings, tokens, request);
     assert_eq!(
-        [urgency(220, 1), urgency(9_000, 0), urgency(9_000, 1), urgency(9_000, 9)],
+        [priority(220, 1), priority(9_000, 0), priority(9_000, 1), priority(9_000, 9)],
         [0, 1, 2, 9]
     );
 }
 
-/// Prompts double for some seconds while a third of the engines write, with half of their places filled.
-/// All that only read are full; a prompt that holds up those streams for less than they may pause is read
-/// by an engine that writes, and a longer one is not.
+/// Prompts double for some seconds while a third of the engines decode, with half of their slots in
+/// use. All prefill engines are full. A prompt that delays the streams for less than they may pause
+/// is prefilled by a decode engine, and a longer one is not.
 #[test]
-fn engines_that_write_read_what_their_streams_can_bear() {
+fn decode_engines_prefill_within_the_allowed_pause() {
     let pause = Duration::from_millis(50);
     let settings = Settings { decode_pause: pause, ..Settings::default() };
-    let engine = |key, writes, waiting, filled| PrefillCandidate {
+    let engine = |key, decodes, queued_tokens, slot_usage| PrefillCandidate {
         key,
-        decodes: writes,
-        queued_tokens: waiting,
+        decodes,
+        queued_tokens,
         cached_tokens: 0,
-        slot_usage: filled,
+        slot_usage,
         transfer_excess: Duration::ZERO,
         domain: 0,
     };
-    let asked = |tokens| Prompt { tokens, ..prompt(3) };
-    let place = |tokens, filled| {
-        let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, filled)];
-        matches!(place(&settings, &asked(tokens), &engines, 1), Placement::Prefill { at: 1, .. })
+    let request = |tokens| Prompt { tokens, ..prompt(3) };
+    let is_placed = |tokens, slot_usage| {
+        let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, slot_usage)];
+        matches!(place(&settings, &request(tokens), &engines, 1), Placement::Prefill { at: 1, .. })
     };
-    // It reads half as fast as one that only reads: 7,500 tokens in 50 ms.
-    assert!(place(7_000, 0.5), "it takes less than the pause");
-    assert!(!place(8_000, 0.5), "it takes longer");
-    assert!(place(8_000, 0.1), "there are few streams to hold up");
-    assert!(!place(1_000, 0.95), "there is no place to write it");
-    let old = Settings::default();
+    // It prefills half as fast as a prefill engine: 7,500 tokens in 50 ms.
+    assert!(is_placed(7_000, 0.5), "it takes less than the pause");
+    assert!(!is_placed(8_000, 0.5), "it takes longer");
+    assert!(is_placed(8_000, 0.1), "it delays few streams");
+    assert!(!is_placed(1_000, 0.95), "there is no decode slot");
+    let default = Settings::default();
     let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, 0.5)];
-    assert!(matches!(policy::prefill::place(&old, &asked(1_000), &engines, 1), Placement::Full(_)));
+    assert!(matches!(
+        policy::prefill::place(&default, &request(1_000), &engines, 1),
+        Placement::Full(_)
+    ));
 }
--- a/crates/policy/tests/quarantine.rs
+++ b/crates/policy/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that ran when a target crashed.
+//! Quarantine of requests that ran when a target crashed.
 
 use policy::quarantine::{CrashHistory, CrashRecords, Quarantine, Verdict};
 use std::cell::Cell;
@@ -15,11 +15,11 @@
     Quarantine::default().decide(&Log(Cell::new(history)), 7)
 }
 
-// One request crashes each target that runs it, and its caller sends it again and again through
-// all entries. What stands in the log decides, so it does not matter which entry, or whether that
-// entry was restarted since.
+// One request crashes each target that runs it, and its caller sends it repeatedly through all
+// entries. The decision depends only on the log, so neither the entry nor a restart of it makes a
+// difference.
 #[test]
-fn a_poisonous_request_takes_down_two_targets() {
+fn harmful_request_crashes_two_targets() {
     let log = Log(Cell::default());
     let mut crashes = 0;
     for _ in 0..50 {
@@ -40,21 +40,21 @@
 }
 
 #[test]
-fn a_suspect_runs_alone_and_one_trial_at_a_time() {
+fn suspect_runs_alone_and_on_one_target_at_a_time() {
     let suspect = CrashHistory { crashes: 1, ..CrashHistory::default() };
     assert_eq!(verdict(suspect), Verdict::Alone);
     assert_eq!(verdict(CrashHistory { running_alone: true, ..suspect }), Verdict::Wait);
 }
 
-// Fifteen innocent requests ran beside the poisonous one. Once one of them has run to its end, the
-// log holds no crash against it.
+// Fifteen harmless requests ran beside the harmful one. Once one of them has run to its end, the
+// log contains no crash for it.
 #[test]
-fn a_request_that_was_cleared_runs_like_any_other() {
+fn cleared_request_runs_like_any_other() {
     assert_eq!(verdict(CrashHistory::default()), Verdict::Normal);
 }
 
-// Two entries sent it out before the first crash was in the log.
+// Two entries sent the request before the first crash was in the log.
 #[test]
-fn two_crashes_in_company_are_enough() {
+fn two_crashes_among_other_requests_suffice() {
     assert_eq!(verdict(CrashHistory { crashes: 2, ..CrashHistory::default() }), Verdict::Refuse);
 }
--- a/crates/policy/tests/queue.rs
+++ b/crates/policy/tests/queue.rs
@@ -23,11 +23,11 @@
     Item { urgent: true, ..item(id, caller, work) }
 }
 
-fn one_at_a_time() -> Queue<()> {
+fn single_slot() -> Queue<()> {
     Queue::new(Settings { slots: 1, ..Settings::default() })
 }
 
-/// Starts and ends items one after the other, and tells their ids.
+/// Starts and ends items one after the other, and returns their ids.
 fn order(queue: &mut Queue<()>, many: usize) -> Vec<u64> {
     let next = |queue: &mut Queue<()>| {
         let id = queue.pop(NOW)?.id;
@@ -37,11 +37,11 @@
     (0..many).filter_map(|_| next(queue)).collect()
 }
 
-// A caller's loop has filled the queue before another caller's first request comes. Served in
-// order of arrival, that request would wait behind the whole flood.
+// A caller's loop has filled the queue before the first request of another caller arrives. In order
+// of arrival, that request would wait behind the whole flood.
 #[test]
-fn a_new_caller_goes_before_a_flood() {
-    let mut queue = one_at_a_time();
+fn new_caller_goes_before_a_flood() {
+    let mut queue = single_slot();
     (0..50).for_each(|id| assert_eq!(queue.push(item(id, "flood", 100), NOW), Pushed::Queued));
     order(&mut queue, 10);
     queue.push(item(100, "quiet", 100), NOW);
@@ -49,11 +49,11 @@
     assert!(position.is_some_and(|position| position <= 1), "served as number {position:?}");
 }
 
-// An urgent request of the flood's own caller starts out of turn. If that moved the virtual time to
-// its tag, a new caller would be put behind all of the flood that waits.
+// An urgent request of the flooding caller starts out of order. If that advanced the virtual time
+// to its tag, a new caller would be queued behind the whole flood.
 #[test]
-fn what_starts_out_of_turn_does_not_put_new_callers_back() {
-    let mut queue = one_at_a_time();
+fn out_of_order_start_does_not_delay_new_callers() {
+    let mut queue = single_slot();
     (0..50).for_each(|id| drop(queue.push(item(id, "flood", 100), NOW)));
     queue.push(urgent(90, "flood", 100), NOW);
     assert_eq!(order(&mut queue, 1), [90]);
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_caller_of_twice_the_weight_gets_twice_the_work() {
-    let mut queue = one_at_a_time();
+fn caller_with_twice_the_weight_gets_twice_the_work() {
+    let mut queue = single_slot();
     for id in 0..60 {
         queue.push(Item { weight: 2, ..item(id, "heavy", 100) }, NOW);
         queue.push(item(100 + id, "light", 100), NOW);
@@ -72,26 +72,26 @@
     assert!((38..=42).contains(&heavy), "{heavy} of 60");
 }
 
-// A rescue reply comes while the queue is full of metadata to be read. It has to start next.
+// An urgent reply arrives while the queue is full of other requests. It has to start next.
 #[test]
-fn an_urgent_request_goes_first() {
-    let mut queue = one_at_a_time();
+fn urgent_request_goes_first() {
+    let mut queue = single_slot();
     (0..20).for_each(|id| drop(queue.push(item(id, "reader", 100), NOW)));
     queue.push(urgent(100, "rescue", 100), NOW);
     assert_eq!(order(&mut queue, 1), [100]);
 }
 
-// Everything is marked urgent by a caller that wants to be first. Others would never be served.
+// A caller marks all its requests as urgent. Others would never be served.
 #[test]
-fn a_flood_of_urgent_requests_starves_nobody() {
-    let mut queue = one_at_a_time();
+fn urgent_flood_does_not_starve_others() {
+    let mut queue = single_slot();
     (0..100).for_each(|id| drop(queue.push(urgent(id, "pusher", 100), NOW)));
     (100..120).for_each(|id| drop(queue.push(item(id, "reader", 100), NOW)));
     let normal = order(&mut queue, 50).iter().filter(|id| **id >= 100).count();
     assert!((8..=12).contains(&normal), "{normal} of 50 are not urgent");
 }
 
-// A few jobs a hundred times longer than the rest come first and take every slot; short answers
+// A few jobs a hundred times longer than the rest arrive first and take every slot. Short requests
 // then wait for minutes.
 #[test]
 fn long_jobs_leave_slots_for_short_ones() {
@@ -105,17 +105,17 @@
 }
 
 #[test]
-fn long_jobs_take_all_slots_when_no_short_ones_are_about() {
+fn long_jobs_take_all_slots_without_short_ones() {
     let mut queue = Queue::new(Settings { slots: 4, ..Settings::default() });
     (0..4).for_each(|id| drop(queue.push(item(id, "batch", 4_000), NOW)));
     assert_eq!(std::iter::from_fn(|| queue.pop(NOW)).count(), 4);
 }
 
-// The caller has given up by the time its turn comes. Running it would take the slot from one
-// that still waits, and under overload all work would be such work.
+// The caller has given up by the time its request could start. Running it would take the slot from
+// one that still waits, and under overload all work would be of that kind.
 #[test]
-fn an_expired_request_never_starts() {
-    let mut queue = one_at_a_time();
+fn expired_request_never_starts() {
+    let mut queue = single_slot();
     queue.push(Item { deadline: Some(NOW), ..item(1, "a", 100) }, NOW);
     let later = NOW + Duration::from_secs(1);
     assert_eq!(queue.pop(later), None);
@@ -123,19 +123,21 @@
     assert_eq!(queue.backlog().requests, 0);
 }
 
-// One caller has filled the bounded queue. Refusing the next caller would make it pay for that.
+// One caller has filled the bounded queue. Refusing the next caller would be unfair to it.
 #[test]
-fn a_full_queue_puts_out_the_newest_of_the_flood() {
+fn full_queue_displaces_the_newest_item_of_the_flood() {
     let mut queue = Queue::new(Settings { capacity: 1_000, ..Settings::default() });
     (0..10).for_each(|id| drop(queue.push(item(id, "flood", 100), NOW)));
     assert!(matches!(queue.push(item(50, "flood", 100), NOW), Pushed::Full(_)));
-    let Pushed::Displaced(out) = queue.push(item(60, "quiet", 100), NOW) else { panic!("kept") };
-    assert_eq!(out.iter().map(|item| item.id).collect::<Vec<_>>(), [9]);
+    let Pushed::Displaced(displaced) = queue.push(item(60, "quiet", 100), NOW) else {
+        panic!("nothing was displaced")
+    };
+    assert_eq!(displaced.iter().map(|item| item.id).collect::<Vec<_>>(), [9]);
 }
 
-// A stream that moved here has a caller who is reading it; putting it out would cut the answer.
+// The caller of a migrated stream is already receiving it. Displacing it would cut the response.
 #[test]
-fn what_has_begun_is_never_put_out() {
+fn begun_item_is_never_displaced() {
     let mut queue = Queue::new(Settings { capacity: 200, ..Settings::default() });
     queue.push(Item { begun: true, ..item(1, "flood", 150) }, NOW);
     assert!(matches!(queue.push(item(2, "quiet", 100), NOW), Pushed::Full(_)));
@@ -143,16 +145,16 @@
 }
 
 #[test]
-fn the_work_ahead_of_a_new_caller_leaves_out_the_flood() {
-    let mut queue = one_at_a_time();
+fn work_ahead_of_a_new_caller_excludes_the_flood() {
+    let mut queue = single_slot();
     (0..20).for_each(|id| drop(queue.push(item(id, "flood", 100), NOW)));
     assert!(queue.ahead("quiet", false).decode <= 100);
     assert_eq!(queue.ahead("flood", false).decode, 2_000);
     assert_eq!(queue.ahead("flood", true).decode, 0);
 }
 
-// Whatever comes in which order, nothing is lost or handed out twice, and the backlog is the sum
-// of what waits: a count that drifts would close the queue for good.
+// For any sequence of operations, no item is lost or returned twice, and the backlog is the sum of
+// the waiting items. A backlog that drifts would close the queue permanently.
 #[test]
 fn items_and_backlog_are_conserved() {
     bolero::check!().with_type::<Vec<(u8, u8, u16)>>().for_each(|steps| {
@@ -166,7 +168,7 @@
                     waiting.insert(id, item.cost);
                     match queue.push(item, NOW) {
                         Pushed::Queued => {}
-                        Pushed::Displaced(out) => out.iter().for_each(|item| {
+                        Pushed::Displaced(displaced) => displaced.iter().for_each(|item| {
                             assert!(waiting.remove(&item.id).is_some());
                         }),
                         Pushed::Full(item) => drop(waiting.remove(&item.id)),
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -1,13 +1,13 @@
-//! Budgets of retries.
+//! Retry budgets.
 
 use policy::retry::Budget;
 use policy::simulation::Random;
 use std::time::Duration;
 
-// A failure domain blinks and every attempt fails for a while. Each request tried three times
-// would be three times the load, just when a third of the fleet is missing.
+// A failure domain fails for a moment and every attempt fails. If each request were tried three
+// times, the load would triple, just when a third of the fleet is missing.
 #[test]
-fn a_storm_of_retries_adds_a_tenth_of_the_load() {
+fn retry_storm_adds_a_tenth_of_the_load() {
     let mut budget = Budget::default();
     let mut random = Random::new(3);
     let mut retries = 0;
@@ -20,13 +20,13 @@
                 u64::from(budget.spend(&caller, &target, attempts, now, random.rng()).is_some());
         }
     }
-    // A tenth, and what was saved up for 14 targets before.
+    // A tenth, and the initial balance of 14 targets.
     assert!((1_500..=2_000 + 14 * 16).contains(&retries), "{retries} retries of 20000 requests");
 }
 
-// One crash takes 16 answers with it. All can be tried again at once, since nothing failed before.
+// One crash breaks 16 responses. All can be retried at once, since nothing failed before.
 #[test]
-fn one_crash_costs_nobody_an_answer() {
+fn one_crash_is_covered_by_the_initial_budget() {
     let mut budget = Budget::default();
     let mut random = Random::new(3);
     let retries = (0..16).filter(|i| {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn waits_are_spread_and_grow_and_attempts_end() {
+fn backoff_is_jittered_and_doubles_until_attempts_are_used_up() {
     let mut random = Random::new(3);
     let mut longest = |attempts: u32| {
         let wait = |_| {
--- a/crates/policy/tests/retry_detection.rs
+++ b/crates/policy/tests/retry_detection.rs
@@ -1,4 +1,4 @@
-//! Which requests have waited already.
+//! Detection of retried requests.
 
 use policy::retry_detection::RetryDetector;
 use std::time::Duration;
@@ -9,34 +9,34 @@
     Duration::from_millis(ms)
 }
 
-/// In a burst every second request is one that was refused 300 ms ago. Read on equal terms, each of
-/// them makes a fresh one late.
+/// In a burst, every second request is the retry of one that was refused 300 ms ago. If they were
+/// treated alike, each retry would make a first attempt late.
 #[test]
-fn a_caller_that_comes_back_with_less_time_left_has_waited() {
-    let mut patience = RetryDetector::default();
+fn request_with_less_time_left_is_a_retry() {
+    let mut detector = RetryDetector::default();
     for _ in 0..2_000 {
-        assert!(!patience.is_retry(ms(2_000), OBJECTIVE));
-        assert!(!patience.is_retry(ms(1_990), OBJECTIVE), "the way here took 10 ms");
-        assert!(patience.is_retry(ms(1_700), OBJECTIVE));
+        assert!(!detector.is_retry(ms(2_000), OBJECTIVE));
+        assert!(!detector.is_retry(ms(1_990), OBJECTIVE), "10 ms of network latency");
+        assert!(detector.is_retry(ms(1_700), OBJECTIVE));
     }
 }
 
-/// One caller waits a minute where all others wait two seconds. Judged by it all would seem to have
-/// waited, and would get the room of latecomers while engines are idle.
+/// One caller waits for a minute where all others wait for two seconds. By its time all requests
+/// would look like retries, and would get only the capacity of retries while engines are idle.
 #[test]
-fn one_very_patient_caller_makes_nobody_late() {
-    let mut patience = RetryDetector::default();
-    patience.is_retry(ms(60_000), OBJECTIVE);
-    let late = (0..3_000).filter(|_| patience.is_retry(ms(2_000), OBJECTIVE)).count();
+fn one_caller_with_a_long_timeout_has_no_lasting_effect() {
+    let mut detector = RetryDetector::default();
+    detector.is_retry(ms(60_000), OBJECTIVE);
+    let late = (0..3_000).filter(|_| detector.is_retry(ms(2_000), OBJECTIVE)).count();
     assert!(late <= 10, "{late}");
-    // Once it is forgotten, those that come back are told apart again.
-    assert!(patience.is_retry(ms(1_500), OBJECTIVE));
+    // Once its time has expired, retries are detected again.
+    assert!(detector.is_retry(ms(1_500), OBJECTIVE));
 }
 
-/// Callers of a route give any time between one and ten seconds. Less time says nothing then.
+/// Callers of a route send any time between one and ten seconds, so a shorter time proves nothing.
 #[test]
-fn where_callers_differ_nobody_has_waited() {
-    let mut patience = RetryDetector::default();
-    let late = (0..5_000u64).filter(|n| patience.is_retry(ms(1_000 + n * 7 % 9_000), OBJECTIVE));
+fn nothing_is_a_retry_where_callers_differ() {
+    let mut detector = RetryDetector::default();
+    let late = (0..5_000u64).filter(|n| detector.is_retry(ms(1_000 + n * 7 % 9_000), OBJECTIVE));
     assert!(late.count() <= 50);
 }
--- a/crates/policy/tests/route.rs
+++ b/crates/policy/tests/route.rs
@@ -1,4 +1,4 @@
-//! Which targets a request goes to.
+//! Choice of targets for a request.
 
 use policy::estimate::Cost;
 use policy::route::{Candidate, Choice, LeastConnections, Load, Query, Route, Stage, Weighted};
@@ -35,12 +35,12 @@
     let mut random = Random::new(5);
     let mut route = Weighted::default();
     (0..300)
-        .map(|_| route.choose(query, fleet, now, random.rng()).expect("some are able"))
+        .map(|_| route.choose(query, fleet, now, random.rng()).expect("some targets are eligible"))
         .collect()
 }
 
-fn share(choices: &[Choice], allow: impl Fn(&Choice) -> bool) -> f64 {
-    choices.iter().filter(|choice| allow(choice)).count() as f64 / choices.len() as f64
+fn share(choices: &[Choice], matches: impl Fn(&Choice) -> bool) -> f64 {
+    choices.iter().filter(|choice| matches(choice)).count() as f64 / choices.len() as f64
 }
 
 #[test]
@@ -55,10 +55,10 @@
     assert_eq!(Weighted::default().choose(&large, &fleet, NOW, random.rng()), None);
 }
 
-// The own failure domain has room. Going elsewhere costs a hop and ties the request to a second
-// domain's health.
+// The own failure domain has capacity. Leaving it costs a hop and makes the request depend on a
+// second domain.
 #[test]
-fn the_own_failure_domain_comes_first_and_spills_when_it_is_full() {
+fn own_failure_domain_is_preferred_until_it_is_full() {
     let mut fleet = fleet(12);
     assert_eq!(share(&choices(&query(), &fleet, NOW), |choice| choice.first % 3 == 0), 1.0);
     let own = fleet.iter_mut().step_by(3);
@@ -66,22 +66,22 @@
     assert!(share(&choices(&query(), &fleet, NOW), |choice| choice.spilled) > 0.9);
 }
 
-// One target holds 5 s of work and the others none. Its wait is what a caller would notice.
+// One target has 5 s of work and the others none. A caller would notice that wait.
 #[test]
-fn the_least_work_is_chosen_and_stale_news_of_it_is_not_trusted() {
+fn least_work_is_chosen_and_stale_reports_are_discounted() {
     let mut fleet = fleet(3);
     fleet.iter_mut().for_each(|candidate| candidate.domain = policy::hash("domain-0"));
     fleet[1].update_load(load(5_000), NOW);
     assert!(share(&choices(&query(), &fleet, NOW), |choice| choice.first == 1) < 0.05);
     let later = NOW + Duration::from_secs(60);
     let stale = share(&choices(&query(), &fleet, later), |choice| choice.first == 1);
-    assert!(stale > 0.2, "{stale} of the requests go where there was load a minute ago");
+    assert!(stale > 0.2, "{stale} of the requests go to the target that was loaded a minute ago");
 }
 
-// All entries hear that one target is idle. If each sent all it has there until the next report,
-// it would be buried.
+// All entries learn that one target is idle. If each sent all its requests there until the next
+// report, the target would be overloaded.
 #[test]
-fn work_sent_since_the_last_news_counts() {
+fn work_sent_since_the_last_report_counts() {
     let mut fleet = fleet(3);
     fleet.iter_mut().for_each(|candidate| candidate.update_load(load(1_000), NOW));
     fleet[0].update_load(load(0), NOW);
@@ -96,16 +96,21 @@
     assert!(sent[0] < 40 && sent[1] > 5 && sent[2] > 5, "{sent:?}");
 }
 
-// Requests share a long prefix. Spread over the fleet, each target reads it anew.
+// Requests share a long prefix. If they were spread over the fleet, each target would compute it
+// again.
 #[test]
-fn a_shared_prefix_stays_together_and_overflows_when_hot() {
+fn shared_prefix_stays_on_one_target_and_overflows_when_hot() {
     let mut fleet = fleet(12);
     let query = Query { prefix: 77, cost: Cost::new(8_000, 100), ..query() };
     let chosen = choices(&query, &fleet, NOW);
     let home = chosen[0].first;
     assert_eq!(share(&chosen, |choice| choice.first == home && choice.affine), 1.0);
     let elsewhere = Query { domain: policy::hash("domain-2"), ..query };
-    assert_eq!(choices(&elsewhere, &fleet, NOW)[0].first, home, "entries agree without talking");
+    assert_eq!(
+        choices(&elsewhere, &fleet, NOW)[0].first,
+        home,
+        "entries agree without communication"
+    );
     fleet[home].update_load(load(9_000), NOW);
     let chosen = choices(&query, &fleet, NOW);
     assert_eq!(share(&chosen, |choice| choice.first == home), 0.0);
@@ -113,7 +118,7 @@
 }
 
 #[test]
-fn a_stage_goes_only_to_engines_of_its_role() {
+fn stage_goes_only_to_engines_of_its_role() {
     let mut fleet = fleet(6);
     fleet[0].role = conf::resource::Role::Prefill;
     fleet[1].role = conf::resource::Role::Decode;
@@ -125,7 +130,7 @@
 }
 
 #[test]
-fn the_baseline_of_least_connections_counts_requests_only() {
+fn least_connections_counts_requests_only() {
     let mut fleet = fleet(2);
     fleet[0].update_load(Load { running: 1, cost: Cost::new(0, 50_000), ..Load::default() }, NOW);
     fleet[1].update_load(Load { running: 2, cost: Cost::new(0, 10), ..Load::default() }, NOW);
--- a/crates/policy/tests/subset.rs
+++ b/crates/policy/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Which agents an entry keeps connections to.
+//! Choice of the targets that an entry keeps connections to.
 
 use policy::subset::{Member, Settings, choose};
 use std::collections::BTreeMap;
@@ -15,10 +15,10 @@
     policy::hash(&format!("entry-{index}"))
 }
 
-// At 390 entries and 700 targets, connections between all would be 273,000. Chosen badly, some
-// targets would be known to nobody.
+// With 390 entries and 700 targets, connections between all would be 273,000. With a bad choice,
+// some targets would be known to no entry.
 #[test]
-fn entries_spread_evenly_over_targets_and_domains() {
+fn entries_are_spread_evenly_over_targets_and_domains() {
     let members = members(700);
     let mut known = vec![0; 700];
     for index in 0..390 {
@@ -33,10 +33,9 @@
     assert!(*least >= 11 && *most <= 46, "a target is known to {least} to {most} entries");
 }
 
-// A target is replaced. If that changed the whole choice, every entry would open all its
-// connections anew.
+// A target leaves. If that changed the whole choice, every entry would reopen all its connections.
 #[test]
-fn the_choice_is_stable_when_one_target_leaves() {
+fn choice_is_stable_when_one_target_leaves() {
     let members = members(700);
     let before = choose(&Settings::default(), entry(1), &members);
     let mut fewer = members.clone();
@@ -47,6 +46,6 @@
 }
 
 #[test]
-fn a_small_fleet_is_kept_whole() {
+fn small_fleet_is_kept_completely() {
     assert_eq!(choose(&Settings::default(), entry(1), &members(14)).len(), 14);
 }
--- a/crates/policy/tests/transfer.rs
+++ b/crates/policy/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Engines whose links are slow.
+//! Transfer times of engines with slow links.
 
 use policy::Time;
 use policy::transfer::TransferTime;
@@ -8,10 +8,10 @@
     Time::from_millis(ms)
 }
 
-/// A writer's link becomes eight times slower and its transfers pile up. It would be given its share
-/// until each waits for two seconds and is refused.
+/// The link of a decode engine becomes eight times slower and its transfers pile up. It would keep
+/// its share until each transfer waits for two seconds and is refused.
 #[test]
-fn a_slow_link_is_known_after_ten_transfers() {
+fn slow_link_is_detected_after_ten_transfers() {
     let mut link = TransferTime::default();
     for number in 0..10 {
         link.sample(ms(100), ms(1_000 + number * 20));
@@ -20,23 +20,23 @@
     assert!(expected > ms(60) && expected < ms(140), "{expected:?}");
 }
 
-/// One of four writers has a slow link, so each reader sees a quarter of its transfers take long.
-/// Judged by their mean, all readers would look slow.
+/// One of four decode engines has a slow link, so a quarter of the transfers of each prefill engine
+/// take long. By the mean, all prefill engines would look slow.
 #[test]
-fn the_other_ends_slowness_is_not_counted_here() {
+fn slowness_of_the_other_end_does_not_count() {
     let mut link = TransferTime::default();
     let mut worst = Duration::ZERO;
     for number in 0..400 {
-        let took = if number % 4 == 0 { ms(300) } else { ms(8) };
-        link.sample(took, ms(number * 20));
+        let duration = if number % 4 == 0 { ms(300) } else { ms(8) };
+        link.sample(duration, ms(number * 20));
         worst = worst.max(link.expected(ms(number * 20)));
     }
     assert!(worst < ms(20), "{worst:?}");
 }
 
-/// A link that was slow gets no transfers, so nothing would ever show that it has recovered.
+/// A slow link gets no transfers, so nothing would ever show that it has recovered.
 #[test]
-fn what_was_learnt_fades_without_transfers() {
+fn estimate_decays_without_transfers() {
     let mut link = TransferTime::default();
     for number in 0..40 {
         link.sample(ms(1_500), ms(number * 20));
--- a/crates/policy/tests/usage.rs
+++ b/crates/policy/tests/usage.rs
@@ -1,4 +1,4 @@
-//! What customers have used, counted by many entries of which some are lost.
+//! Usage counts of customers by many entries, of which some are lost.
 
 use compact_str::CompactString;
 use policy::usage::{Ledger, OwnCounts, Row};
@@ -7,10 +7,10 @@
     Row { customer: customer.into(), count }
 }
 
-/// Datagrams come late, twice, in another order or not at all. A customer would be billed for more or
-/// less than it used.
+/// Datagrams arrive late, twice, in another order or not at all. A customer would be billed for
+/// more or less than it used.
 #[test]
-fn tellings_that_are_doubled_late_or_lost_change_nothing() {
+fn duplicated_late_or_lost_reports_change_nothing() {
     let mut ledger = Ledger::default();
     ledger.merge(1, 100, [row("north", 2)]);
     ledger.merge(1, 100, [row("north", 5), row("south", 1)]);
@@ -20,9 +20,10 @@
     assert_eq!(sums, [("north".into(), 5), ("south".into(), 1)]);
 }
 
-/// An entry is killed in the middle of a window and starts again: what both lives counted is due.
+/// An entry is killed in the middle of a window and restarts. The counts of both incarnations are
+/// billed.
 #[test]
-fn two_lives_of_an_entry_count_both() {
+fn counts_of_two_incarnations_add_up() {
     let mut ledger = Ledger::default();
     ledger.merge(1, 100, [row("north", 7)]);
     ledger.merge(2, 100, [row("north", 2)]);
@@ -32,18 +33,19 @@
     assert!(ledger.totals(102).is_empty());
 }
 
-/// Four of 22 entries are killed at once in the middle of a window. Each tells its counts four times a
-/// second, so that the bill misses a quarter of a second of theirs at most, and stays within 5%.
+/// Four of 22 entries are killed at once in the middle of a window. Each reports its counts four
+/// times per second, so the bill misses at most a quarter of a second of theirs and stays within
+/// 5%.
 #[test]
-fn four_entries_of_22_that_are_killed_leave_a_bill_that_holds() {
+fn bill_stays_accurate_when_four_of_22_entries_are_killed() {
     const ENTRIES: u64 = 22;
     const MS: u64 = 5_000;
     let customer = CompactString::from("north");
     let mut ledger = Ledger::default();
-    let mut owns: Vec<OwnCounts> = (0..ENTRIES).map(|_| OwnCounts::default()).collect();
+    let mut entries: Vec<OwnCounts> = (0..ENTRIES).map(|_| OwnCounts::default()).collect();
     let mut served = 0;
     for ms in 0..MS {
-        for (entry, own) in (0..).zip(&mut owns) {
+        for (entry, own) in (0..).zip(&mut entries) {
             let killed = entry < 4 && ms >= 2_499;
             if killed {
                 continue;
@@ -65,23 +67,24 @@
     assert!(missing * 20 <= served, "{missing} of {served} are missing");
 }
 
-/// A telling may be lost, so each is repeated once, and not for ever.
+/// A report may be lost, so each is repeated once, and no more often.
 #[test]
-fn a_count_is_told_twice_and_again_to_newcomers() {
+fn count_is_sent_twice_and_again_on_request() {
     let mut own = OwnCounts::default();
     own.count(7, &"north".into());
-    let told = vec![(7, vec![row("north", 1)])];
+    let reported = vec![(7, vec![row("north", 1)])];
     assert_eq!(
         (own.take_due(), own.take_due(), own.take_due()),
-        (told.clone(), told.clone(), vec![])
+        (reported.clone(), reported.clone(), vec![])
     );
     own.mark_all_due();
-    assert_eq!(own.take_due(), told);
+    assert_eq!(own.take_due(), reported);
 }
 
-/// A clock that is 40 minutes off names windows of another time. They must not push out those of now.
+/// A clock that is 40 minutes off names windows of another time. They must not replace the current
+/// ones.
 #[test]
-fn windows_of_a_wrong_clock_push_nothing_out() {
+fn windows_of_a_wrong_clock_replace_nothing() {
     let mut ledger = Ledger::default();
     let mut own = OwnCounts::default();
     ledger.merge(1, 100, [row("north", 2)]);
