--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -1,4 +1,4 @@
-//! What the operator decides: routes, services and customers.
+//! What operators configure: routes, services and customers.
 
 pub mod customers;
 pub mod route;
--- a/crates/direct/src/config/customers.rs
+++ b/crates/direct/src/config/customers.rs
@@ -1,8 +1,8 @@
-//! Customers: whose request it is, by the key that it carries.
+//! Customers, identified by the key that a request carries.
 //!
-//! Keys are known here by their digests only, so that none can reach a log line, a metric or another
-//! process. The digests of a configuration are indexed once, when it comes into force: a request costs
-//! one digest and one lookup, however many customers there are.
+//! Keys are held here only as digests, so that none can reach a log line, a metric or another
+//! process. The digests of a configuration are indexed once, when it comes into force: a request
+//! costs one digest and one lookup, however many customers there are.
 
 use compact_str::CompactString;
 use sha2::{Digest as _, Sha256};
@@ -14,22 +14,23 @@
 /// The name of a customer.
 pub type CustomerName = CompactString;
 
-/// The result of finding out whose a request is.
-pub type Result<T, E = Unknown> = std::result::Result<T, E>;
+/// The result of identifying a caller.
+pub type Result<T, E = UnknownCustomer> = std::result::Result<T, E>;
 
-/// The request carries no key of a customer, though it needs one.
+/// The request carries no customer's key, though its route requires one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("no key of a customer")]
-pub struct Unknown;
+pub struct UnknownCustomer;
 
 /// The SHA-256 digest of a key.
 ///
-/// How long a lookup takes tells nothing of a key: who guesses can't choose the digest.
+/// The time that a lookup takes reveals nothing about a key, since whoever guesses can't choose the
+/// digest.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -41,41 +42,41 @@
     }
 }
 
-/// What a request carries to show whose it is.
+/// The credential that a request carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     #[default]
     None,
-    /// One key.
+    /// The digest of its key.
     Key(KeyDigest),
-    /// Something that is not one key: several, or another scheme.
+    /// Something other than a single key: several keys, or another scheme.
     Invalid,
 }
 
-/// A customer as operators configured it.
+/// A customer, as operators configured it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Customer {
     /// Its name.
     pub name: CustomerName,
-    /// Its rank, which goes before the route's: 0 is the most urgent.
+    /// Its priority, which overrides the route's: 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// Whose a request is.
+/// Who sent a request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Caller {
-    /// Nobody asks: no customers are configured.
+    /// Not checked: no customers are configured.
     #[default]
     Unchecked,
-    /// Nobody's: its route is open to all, and it carries no key of a customer.
+    /// Unknown: the route is public, and the request carries no customer's key.
     Anonymous,
-    /// A customer's.
+    /// A customer.
     Customer(Arc<Customer>),
 }
 
 impl Caller {
-    /// The customer, if it is one's.
+    /// The customer, if the caller is one.
     pub fn customer(&self) -> Option<&Arc<Customer>> {
         match self {
             Self::Customer(customer) => Some(customer),
@@ -100,7 +101,8 @@
                     free.insert(customer.clone());
                 }
                 Entry::Occupied(held) => {
-                    // Both can't be served by it; the first stays, so that all entries agree.
+                    // A key can identify only one of them. The first one keeps it, so that all
+                    // entries agree.
                     log::warn!(target: "config", holder = held.get().name.as_str(),
                         customer = customer.name.as_str(); "key held by two customers");
                 }
@@ -108,21 +110,21 @@
         }
     }
 
-    /// How many keys there are.
+    /// The number of keys.
     pub fn key_count(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whose a request is; `open` says that its route needs no key.
-    pub fn caller(&self, credential: Credential, open: bool) -> Result<Caller> {
+    /// Identifies the caller by its credential. A `public` route needs no key.
+    pub fn caller(&self, credential: Credential, public: bool) -> Result<Caller> {
         let customer = match credential {
             Credential::Key(key) => self.by_key.get(&key),
             Credential::None | Credential::Invalid => None,
         };
         match customer {
             Some(customer) => Ok(Caller::Customer(customer.clone())),
-            None if open => Ok(Caller::Anonymous),
-            None => Err(Unknown),
+            None if public => Ok(Caller::Anonymous),
+            None => Err(UnknownCustomer),
         }
     }
 }
--- a/crates/direct/src/config/route.rs
+++ b/crates/direct/src/config/route.rs
@@ -1,4 +1,4 @@
-//! What operators configured: routes, services and limits, as one immutable table a version.
+//! Routes, services and limits as operators configured them: one immutable table for each version.
 
 use crate::config::customers::{self, Caller, Credential, Customers};
 use compact_str::CompactString;
@@ -15,32 +15,32 @@
 /// The name of a route.
 pub type RouteName = CompactString;
 
-/// How often a request may run.
+/// Whether a request may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Any number of times.
+    /// The request is idempotent: it may run any number of times.
     Idempotent,
-    /// Once at most for each sending by a caller.
+    /// The request may run once at most for each attempt by the caller.
     Once,
-    /// A stream that another target can go on with after the last event delivered.
+    /// The response is a stream that another target can resume after the last event delivered.
     Resumable,
 }
 
-/// What part of a generation an engine does.
+/// The part of a generation that an engine performs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Stage {
-    /// It reads prompts for others.
+    /// It prefills prompts for other engines.
     Prefill,
-    /// It writes output, and can read prompts for itself at half the rate.
+    /// It decodes output, and can prefill prompts for itself at half the rate.
     Decode,
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedService {
     /// Its name.
     pub service: ServiceName,
-    /// Its weight among the route's portions.
+    /// Its weight among the route's services.
     pub weight: f64,
 }
 
@@ -55,32 +55,33 @@
     pub prefix: CompactString,
     /// The services that share its requests; never empty.
     pub services: Vec<WeightedService>,
-    /// How often a request may run.
+    /// Whether a request may be sent again.
     pub retry_policy: RetryPolicy,
-    /// How long a request may take in all.
+    /// How long a request may take in total.
     pub timeout: Duration,
-    /// Within which time an answer, or its first event, earns its full worth.
+    /// The time within which a response, or its first event, counts in full.
     pub objective: Duration,
-    /// How long a stream may pause between pieces to count as in time, if operators say so.
+    /// The longest gap between pieces of a stream that still counts as in time, if operators set
+    /// one.
     pub max_gap: Option<Duration>,
-    /// Its rank: 0 is the most urgent.
+    /// Its priority: 0 is the most urgent.
     pub priority: u8,
-    /// Targets that one request may be sent to.
+    /// The number of targets that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether it needs no customer's key.
+    /// Whether its requests need no customer's key.
     pub public: bool,
 }
 
 /// What all engines of a service have in common.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineSpec {
-    /// Tokens that fit in the memory of one.
+    /// KV cache that fits in the memory of one engine, in tokens.
     pub kv_capacity: u64,
-    /// Streams that one writes at once.
+    /// Streams that one engine decodes concurrently.
     pub max_streams: u32,
-    /// Tokens in a piece of output, if it is known.
+    /// Tokens in a piece of output, if known.
     pub piece_tokens: Option<u32>,
-    /// How long one is out of service to change its stage.
+    /// How long an engine is out of service to change its stage.
     pub stage_change_time: Duration,
 }
 
@@ -89,18 +90,18 @@
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// Connections that one target takes from all processes together.
+    /// Connections that one target accepts from all processes together.
     pub max_connections: u32,
-    /// Its engines' figures, if it serves models.
+    /// The properties of its engines, if it serves models.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Size of a request's body, in bytes.
     pub body_bytes: usize,
     /// How long a connection may be idle.
     pub idle_timeout: Duration,
@@ -111,18 +112,18 @@
 pub struct Table {
     /// The version.
     pub version: Version,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
     services: HashMap<ServiceName, Arc<Service>>,
     hosts: HashMap<CompactString, HashMap<CompactString, Arc<Route>>>,
-    /// The shortest pause between pieces that any route of a service allows.
-    pauses: HashMap<ServiceName, Duration>,
+    /// The shortest gap between pieces that any route of a service allows.
+    max_gaps: HashMap<ServiceName, Duration>,
     /// `None` if requests need no key.
     customers: Option<Customers>,
 }
 
 impl Table {
-    /// Puts a table together.
+    /// Builds a table.
     pub fn new(
         version: Version,
         limits: Limits,
@@ -130,28 +131,28 @@
         services: impl IntoIterator<Item = Service>,
     ) -> Self {
         let mut hosts: HashMap<CompactString, HashMap<CompactString, Arc<Route>>> = HashMap::new();
-        let mut pauses: HashMap<ServiceName, Duration> = HashMap::new();
+        let mut max_gaps: HashMap<ServiceName, Duration> = HashMap::new();
         for route in routes {
-            for portion in route.services.iter().filter(|_| route.max_gap.is_some()) {
-                let pause = route.max_gap.unwrap_or_default();
-                let shortest = pauses.entry(portion.service.clone()).or_insert(pause);
-                *shortest = pause.min(*shortest);
+            for weighted in route.services.iter().filter(|_| route.max_gap.is_some()) {
+                let max_gap = route.max_gap.unwrap_or_default();
+                let shortest = max_gaps.entry(weighted.service.clone()).or_insert(max_gap);
+                *shortest = max_gap.min(*shortest);
             }
             let routes = hosts.entry(route.host.clone()).or_default();
             routes.insert(route.prefix.clone(), Arc::new(route));
         }
         let services = services.into_iter();
         let services = services.map(|service| (service.name.clone(), Arc::new(service))).collect();
-        Self { version, limits, services, hosts, pauses, customers: None }
+        Self { version, limits, services, hosts, max_gaps, customers: None }
     }
 
-    /// The same table for these customers only.
+    /// Returns the same table, restricted to these customers.
     #[must_use]
     pub fn with_customers(self, customers: Customers) -> Self {
         Self { customers: Some(customers), ..self }
     }
 
-    /// Whose a request on `route` is.
+    /// Identifies the caller of a request on `route`.
     pub fn caller(&self, route: &Route, credential: Credential) -> customers::Result<Caller> {
         match &self.customers {
             Some(customers) => customers.caller(credential, route.public),
@@ -159,15 +160,15 @@
         }
     }
 
-    /// How many keys of customers there are, if requests need one.
+    /// The number of customers' keys, if requests need one.
     pub fn key_count(&self) -> Option<usize> {
         self.customers.as_ref().map(Customers::key_count)
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`.
+    /// Returns the route of `host` with the longest prefix that `path` begins with.
     ///
     /// Prefixes end with a slash, so it tries the path up to each slash from the last: as many
-    /// lookups as the path has parts, however many routes there are.
+    /// lookups as the path has segments, however many routes there are.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
@@ -183,12 +184,12 @@
         self.services.get(name)
     }
 
-    /// The shortest pause between pieces that any route of a service allows.
-    pub fn pause(&self, service: &str) -> Option<Duration> {
-        self.pauses.get(service).copied()
+    /// The shortest gap between pieces that any route of a service allows.
+    pub fn max_gap(&self, service: &str) -> Option<Duration> {
+        self.max_gaps.get(service).copied()
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(HashMap::len).sum()
     }
@@ -200,17 +201,17 @@
 }
 
 impl Route {
-    /// The service for a request that drew `at`, from 0 up to 1.
+    /// Picks a service by weight for a request that drew the random number `at`, from 0 up to 1.
     pub fn pick_service(&self, at: f64) -> &ServiceName {
-        let total: f64 = self.services.iter().map(|portion| portion.weight).sum();
+        let total: f64 = self.services.iter().map(|weighted| weighted.weight).sum();
         let mut left = at * total;
-        for portion in &self.services {
-            left -= portion.weight;
+        for weighted in &self.services {
+            left -= weighted.weight;
             if left < 0.0 {
-                return &portion.service;
+                return &weighted.service;
             }
         }
-        // Rounding can leave a hair over; a route has one portion at least.
+        // Rounding can leave a small remainder. A route has at least one service.
         &self.services[self.services.len() - 1].service
     }
 }
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State that all requests of an entry share.
 
 use crate::cluster::coordinator::Coordinator;
 use crate::cluster::groups::{self, Groups};
@@ -28,41 +28,42 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::Instant;
 
-/// Settings of an entry that sends straight to targets.
+/// Settings of an entry that sends requests directly to targets.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name, unlike that of any other entry.
+    /// Its name, unique among the entries.
     pub name: CompactString,
     /// Its failure domain.
     pub domain: CompactString,
-    /// How extra sendings are bounded.
+    /// The budget for extra attempts.
     pub extras: extra_budget::Settings,
-    /// How prompts are placed.
+    /// How prompts are placed on engines.
     pub prompts: prefill::Settings,
-    /// This process's link.
+    /// This process's network link.
     pub link: link::Settings,
-    /// How engines are split.
+    /// How engines are split between prefill and decode.
     pub split: split::Settings,
-    /// When engines change what they do for the load.
+    /// When engines change their stage in response to load.
     pub balance: balance::Settings,
-    /// Whether the whole system starts for the first time, so that nobody can hold a lease.
+    /// Whether the whole system starts for the first time, so that no lease can be held.
     pub first_start: bool,
-    /// How old the news of the configuration may be for keys of customers to be believed; `None` if they
-    /// are believed however old it is.
+    /// Age of the latest read of the configuration up to which customers' keys are accepted; `None`
+    /// if they are accepted at any age.
     pub keys_max_age: Option<Duration>,
 }
 
-/// The share of an entry's link that its datagrams to the others may take. Some entries have a
-/// hundredth of the others' links, and full ones lose datagrams.
+/// The share of an entry's link that its datagrams to the other entries may take. Some entries have
+/// a hundredth of the others' links, and a link that is full loses datagrams.
 const DATAGRAM_SHARE: f64 = 0.03;
 
-/// Bytes that the network adds to each datagram.
-const DATAGRAM_HEAD: usize = 28;
+/// Bytes of network headers in each datagram.
+const DATAGRAM_HEADER_BYTES: usize = 28;
 
 impl Settings {
-    /// For how long datagrams of `bytes` bytes to so many peers take up their share of the link.
+    /// How long a datagram of `bytes` bytes to each of `peers` peers occupies the link's share for
+    /// datagrams.
     pub fn datagram_interval(&self, bytes: usize, peers: u32) -> Duration {
-        let bytes = u32::try_from(bytes + DATAGRAM_HEAD).unwrap_or(u32::MAX);
+        let bytes = u32::try_from(bytes + DATAGRAM_HEADER_BYTES).unwrap_or(u32::MAX);
         let bytes = f64::from(bytes) * f64::from(peers);
         let span =
             Duration::try_from_secs_f64(bytes / (self.link.bytes_per_second * DATAGRAM_SHARE));
@@ -70,16 +71,17 @@
     }
 }
 
-/// Datagrams are no further apart than this, however small the link: others would take the entry
-/// for silent.
+/// The longest interval between datagrams, however small the link. After a longer one, the other
+/// entries would count this entry as unresponsive.
 pub const MAX_DATAGRAM_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How a process stops.
+/// The schedule by which a process stops.
 #[derive(Debug, Clone, Copy)]
 pub struct Stop {
-    /// From when on nobody should send it anything, so that it begins only what surely ends.
+    /// When the balancer should have stopped sending it connections. From then on it only begins
+    /// requests that are certain to end in time.
     pub drain_at: Instant,
-    /// When it ends at the latest.
+    /// When the process ends at the latest.
     pub deadline: Instant,
 }
 
@@ -87,38 +89,38 @@
 pub struct Shared {
     /// Its settings.
     pub settings: Settings,
-    /// The vocabulary of callers and targets.
+    /// Translates what callers and targets send.
     pub codec: Arc<dyn Codec>,
-    /// The configuration in force; none until one was read.
+    /// The configuration in force; `None` until one was read.
     pub table: watch::Sender<Option<Arc<Table>>>,
-    /// Requests that crashed targets.
+    /// Requests suspected of crashing targets.
     pub suspects: Suspects,
     /// How long requests take.
     pub durations: Durations,
     /// Counters and histograms.
     pub metrics: Arc<Metrics>,
-    /// The other entries' work.
+    /// The other entries and their work.
     pub peers: Peers,
-    /// What this entry has granted to others.
+    /// What this entry has granted as a coordinator.
     pub coordinator: Coordinator,
     /// What customers have used.
     pub usage: Usage,
     /// Datagrams about single prompts.
     pub post: PeerSocket,
-    /// What is asked of engines, and what they do.
+    /// The demand on engines, and the rates they achieve.
     pub loads: Loads,
-    /// Who reads the log.
+    /// Which entries read the log, and how far they have read it.
     pub tail: Tail,
-    /// Told when the entries' stream is to be read at once.
+    /// Notified when the entries' stream is to be read at once.
     pub notices: Notify,
-    /// This entry's work at engines.
+    /// This entry's work on engines.
     pub workload: Arc<Workload>,
     fleet: Mutex<Fleet>,
     groups: groups::Cache,
     link: Mutex<link::Link>,
-    dial: Mutex<connect_timeout::ConnectTimeouts>,
-    /// How long callers wait, by route.
-    patience: Mutex<HashMap<RouteName, retry_detection::RetryDetector>>,
+    connect_timeouts: Mutex<connect_timeout::ConnectTimeouts>,
+    /// Detects retries, by route.
+    retry_detectors: Mutex<HashMap<RouteName, retry_detection::RetryDetector>>,
     windows: Mutex<HashMap<CompactString, extra_budget::ExtraBudget>>,
     entries: AtomicU32,
     random: Mutex<ChaCha8Rng>,
@@ -126,19 +128,20 @@
     started: Instant,
 }
 
-/// The share of the connections that a target takes which all entries together open: it also
-/// takes health checks, and fewer while its queue is long.
+/// The share of a target's connections that all entries together may open: a target also accepts
+/// health checks, and fewer connections while its queue is long.
 const CONNECTION_SHARE: f64 = 0.85;
 
-/// A prompt that is read between the tokens of streams may take up this part of the pause that they may
-/// make: the pieces of output that it delays, another prompt after it and the way to callers take the rest.
-const PAUSES: u32 = 4;
+/// A prefill between the tokens of streams may take their longest gap divided by this. The pieces
+/// of output that it delays, another prefill after it and the way to the callers take the rest.
+const GAP_DIVISOR: u32 = 4;
 
-/// Routes whose callers' patience is remembered; operators add them by the hundred.
+/// Upper bound on the routes for which callers' waiting times are kept; operators add routes by the
+/// hundred.
 const MAX_ROUTES: usize = 4_096;
 
 impl Shared {
-    /// The state of an entry that has just started.
+    /// Creates the state of an entry that has just started.
     pub fn new(settings: Settings, codec: Arc<dyn Codec>, seed: u64) -> Self {
         let workload: Arc<Workload> = Arc::default();
         let link = Mutex::new(link::Link::new(settings.link.clone()));
@@ -162,8 +165,8 @@
             fleet: Mutex::new(Fleet::new(workload)),
             groups: groups::Cache::default(),
             link,
-            dial: Mutex::default(),
-            patience: Mutex::default(),
+            connect_timeouts: Mutex::default(),
+            retry_detectors: Mutex::default(),
             windows: Mutex::default(),
             entries: AtomicU32::new(1),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -177,21 +180,23 @@
         policy::hash(&self.settings.name)
     }
 
-    /// The list of targets, without those that have said that they leave.
+    /// Locks the list of targets, after excluding from new work those that announced that they are
+    /// leaving.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         let mut fleet = self.fleet.lock().unwrap_or_else(PoisonError::into_inner);
         fleet.take_departures();
         fleet
     }
 
-    /// Whether keys of customers can be believed: where it matters, an entry that hears of no changes
-    /// serves nobody, since the key may have been taken away.
+    /// Whether customers' keys are recent enough to be accepted. Where a maximum age is set, an
+    /// entry that reads no configuration changes serves no customer, since a key may have been
+    /// revoked.
     pub fn keys_are_fresh(&self, now: Instant) -> bool {
-        let Some(lapse) = self.settings.keys_max_age else { return true };
-        self.tail.age(Topic::Config, now).is_some_and(|age| age < lapse)
+        let Some(max_age) = self.settings.keys_max_age else { return true };
+        self.tail.age(Topic::Config, now).is_some_and(|age| age < max_age)
     }
 
-    /// Takes in an epoch of the log, of which `from` says how it is known.
+    /// Records an epoch of the log; `from` names where it was learned.
     pub fn observe_epoch(&self, epoch: Epoch, from: &'static str) {
         let Some(new) = self.tail.observe_epoch(epoch, Instant::now()) else { return };
         if let Some(before) = new.before {
@@ -200,9 +205,9 @@
         self.metrics.epoch.set(i64::try_from(epoch).unwrap_or(i64::MAX));
     }
 
-    /// Notes a read, and tells the others at once if it brought news.
-    pub fn note_read(&self, topic: Topic, news: Offset) {
-        if self.tail.record_read(topic, news, Instant::now()) {
+    /// Records a read, and informs the other entries at once if it brought changes.
+    pub fn note_read(&self, topic: Topic, change_end: Offset) {
+        if self.tail.record_read(topic, change_end, Instant::now()) {
             self.workload.notify_changed();
         }
     }
@@ -217,24 +222,24 @@
         self.fleet().get(&target.id).is_some_and(|known| known.key == target.key)
     }
 
-    /// Notes that the process stops.
+    /// Starts to stop the process.
     pub fn stop(&self, stop: Stop) {
-        // A second signal changes nothing.
+        // Only the first call has an effect.
         let _ = self.stop.set(stop);
     }
 
-    /// How the process stops, if it does.
+    /// The schedule by which the process stops, if it is stopping.
     pub fn stopping(&self) -> Option<Stop> {
         self.stop.get().copied()
     }
 
-    /// The groups of a service's engines, and who coordinates them.
+    /// The groups of a service's engines, and their coordinators.
     pub fn groups(&self, service: &CompactString) -> Groups {
         let engines = self.usable(service);
         self.groups.groups(service, &engines, &self.peers.members())
     }
 
-    /// Tokens that fit in the memory of one engine of a service.
+    /// KV cache that fits in the memory of one engine of a service, in tokens.
     pub fn kv_capacity(&self, service: &str) -> u64 {
         let table = self.table.borrow();
         let service = table.as_ref().and_then(|table| table.service(service));
@@ -242,32 +247,33 @@
         engine.map_or(0, |engine| engine.kv_capacity)
     }
 
-    /// Of how many entries this one knows the work of a single one on average: 1 if it hears all
-    /// the others, as many as there are if it hears none.
+    /// The factor by which known work is scaled up for the entries whose work is unknown: 1 if all
+    /// the others report theirs, the number of entries if none does.
     ///
-    /// An entry that is gone still counts until its heartbeat is old. Rounded up, one of thirty
-    /// halved the queue that the others left to engines for twenty seconds.
+    /// An entry that is gone still counts until its heartbeat is old. When this was rounded up, one
+    /// missing entry of thirty halved the queue that the others left to engines for twenty seconds.
     pub fn load_scale(&self) -> f64 {
         let known = f64::from(self.peers.reachable_count()) + 1.0;
         (f64::from(self.entries()) / known).max(1.0)
     }
 
-    /// How long this entry waits before it calls a log again that did not answer, while no other entry
+    /// How long this entry waits before it retries a log that did not respond, while no other entry
     /// has reached it either.
     ///
-    /// While the log is away none can reach it, and that it is back has to be noticed by one of them:
-    /// all together try as often as eight would alone. One that hears nobody tries as if it were alone.
+    /// While the log is unavailable, no entry can reach it, and one of them has to notice its
+    /// recovery: all together retry as often as eight would without this delay. An entry that
+    /// receives no reports from others retries as if it were alone.
     pub fn log_retry_delay(&self) -> Duration {
-        const EACH: Duration = Duration::from_millis(60);
-        EACH * self.peers.reachable_count()
+        const PER_PEER: Duration = Duration::from_millis(60);
+        PER_PEER * self.peers.reachable_count()
     }
 
-    /// How many entries share the work, as far as is known.
+    /// The number of entries that share the work, as far as known.
     pub fn entries(&self) -> u32 {
         self.entries.load(Ordering::Relaxed).max(1)
     }
 
-    /// Takes in how many entries share the work.
+    /// Sets the number of entries that share the work.
     pub fn set_entries(&self, entries: u32) {
         self.entries.store(entries.max(1), Ordering::Relaxed);
         self.metrics.entries.set(i64::from(entries));
@@ -290,11 +296,11 @@
         f64::from(random.next_u32()) / RANGE
     }
 
-    /// How prompts are placed at the engines of a service, with the rate learnt so far.
+    /// How prompts are placed on the engines of a service, with the prefill rate learned so far.
     pub fn prompts(&self, service: &str) -> prefill::Settings {
         let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prompts.prefill_rate);
-        let pause = self.table.borrow().as_ref().and_then(|table| table.pause(service));
-        let writer_pause = pause.unwrap_or_default() / PAUSES;
+        let pause = self.table.borrow().as_ref().and_then(|table| table.max_gap(service));
+        let writer_pause = pause.unwrap_or_default() / GAP_DIVISOR;
         prefill::Settings {
             prefill_rate: rate,
             decode_pause: writer_pause,
@@ -302,49 +308,50 @@
         }
     }
 
-    /// Takes in how long an engine of a service took to read a prompt and what waited before it.
-    pub fn record_prefill_time(&self, service: &str, tokens: u64, took: Duration) {
-        self.loads.record_prefill(service, self.settings.prompts.prefill_rate, tokens, took);
+    /// Records the time that an engine of a service needed to prefill `tokens`: a prompt and what
+    /// was queued before it.
+    pub fn record_prefill_time(&self, service: &str, tokens: u64, duration: Duration) {
+        self.loads.record_prefill(service, self.settings.prompts.prefill_rate, tokens, duration);
     }
 
-    /// Whether the caller of a request that waits for `left` from now on has waited longer than the
-    /// route's objective already.
+    /// Whether this is a retry: the caller, who waits for `left` from now on, has already waited
+    /// longer than the route's objective.
     pub fn is_retry(&self, route: &Route, left: Option<Duration>) -> bool {
         let Some(left) = left else { return false };
-        let mut patience = self.patience.lock().unwrap_or_else(PoisonError::into_inner);
-        if patience.len() >= MAX_ROUTES {
-            patience.clear();
+        let mut detectors = self.retry_detectors.lock().unwrap_or_else(PoisonError::into_inner);
+        if detectors.len() >= MAX_ROUTES {
+            detectors.clear();
         }
-        let patience = patience.entry(route.name.clone()).or_default();
-        patience.is_retry(left, route.objective)
+        let detector = detectors.entry(route.name.clone()).or_default();
+        detector.is_retry(left, route.objective)
     }
 
-    /// Books the link for a request of `bytes` bytes: how long until its turn, or how long the link is
-    /// taken if that is too long for it.
+    /// Reserves the link for a request of `bytes` bytes. Returns how long it has to wait for its
+    /// turn, or as the error how long the link is occupied, if that is too long for the objective.
     pub fn reserve_link(&self, bytes: u64, objective: Duration) -> Result<Duration, Duration> {
         self.link().reserve(bytes, objective, self.started.elapsed())
     }
 
-    /// Ends a booking of the link for bytes that are not sent after all.
+    /// Releases a reservation of the link for bytes that are not sent after all.
     pub fn release_link(&self, bytes: u64) {
         self.link().give_back(bytes);
     }
 
-    /// How long a connection to a target is waited for.
+    /// The timeout for opening a connection to a target.
     pub fn connect_timeout(&self, target: &Target) -> Duration {
-        self.dial().timeout(target.domain_key, self.started.elapsed())
+        self.connect_timeouts().timeout(target.domain_key, self.started.elapsed())
     }
 
-    /// Takes in how long it took to open a connection to a target.
-    pub fn record_connect_time(&self, target: &Target, took: Duration) {
-        self.dial().sample(target.domain_key, took, self.started.elapsed());
+    /// Records the time that opening a connection to a target required.
+    pub fn record_connect_time(&self, target: &Target, duration: Duration) {
+        self.connect_timeouts().sample(target.domain_key, duration, self.started.elapsed());
     }
 
-    fn dial(&self) -> MutexGuard<'_, connect_timeout::ConnectTimeouts> {
-        self.dial.lock().unwrap_or_else(PoisonError::into_inner)
+    fn connect_timeouts(&self) -> MutexGuard<'_, connect_timeout::ConnectTimeouts> {
+        self.connect_timeouts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Books bytes that are sent to targets.
+    /// Counts bytes that are sent to targets.
     pub fn book_bytes(&self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.link().send(bytes, self.started.elapsed());
@@ -354,17 +361,17 @@
         self.link.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Books a request for `service`.
+    /// Counts a request for `service`.
     pub fn book_request(&self, service: &str) {
         self.with_window(service, |window, now| window.record_request(now));
     }
 
-    /// Books an extra sending that happened.
+    /// Counts an extra attempt that was already made.
     pub fn book_extra(&self, service: &str) {
         self.with_window(service, |window, now| window.record_extra(now));
     }
 
-    /// Books an extra sending if there may be one.
+    /// Counts an extra attempt if the budget allows one, and returns whether it does.
     #[must_use]
     pub fn try_book_extra(&self, service: &str) -> bool {
         let entries = self.entries();
