--- a/crates/direct/src/buffered_request.rs
+++ b/crates/direct/src/buffered_request.rs
@@ -1,9 +1,9 @@
-//! A caller's request, read whole.
+//! A caller's request, buffered as a whole.
 
 use bytes::Bytes;
 use http::{HeaderMap, Method, Uri};
 
-/// A caller's request as it is sent on, unchanged but for its headers.
+/// A caller's request as it is forwarded: unchanged except for its headers.
 #[derive(Debug, Clone)]
 pub struct BufferedRequest {
     /// The method.
--- a/crates/direct/src/codec.rs
+++ b/crates/direct/src/codec.rs
@@ -1,6 +1,6 @@
-//! The border towards callers and targets: what their headers say, in the product's own types.
+//! Translates between the headers of callers and targets and the product's own types.
 //!
-//! A deployment's adapter implements [`Codec`]. Everything behind it speaks of attempts, deadlines
+//! A deployment's adapter implements [`Codec`]. Everything behind it works with attempts, deadlines
 //! and prompts and never sees a header's name.
 
 use crate::config::customers::{Caller, Credential};
@@ -11,15 +11,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The id that a caller gave one sending of a request. Targets echo it.
+/// The id that a caller gave one attempt of a request. Targets echo it.
 pub type AttemptId = CompactString;
 
-/// The id of a target. One that starts again has another, or the same and is another life, see
+/// The id of a target. One that restarts has another id, or the same id and another
 /// [`Incarnation`].
 pub type TargetId = CompactString;
 
-/// When a life of a target began, in milliseconds since 1970 by its own clock. It tells its lives
-/// apart; it is never compared with another target's, or with the time here.
+/// The start time of a target's process, in milliseconds since 1970 by its own clock. It
+/// distinguishes the incarnations of one target; it is never compared with another target's, or
+/// with the local time.
 pub type Incarnation = u64;
 
 /// The id of one part of a prompt.
@@ -28,13 +29,13 @@
 /// A part of a prompt, in the order in which the prompt holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Its id: equal parts of different prompts have the same.
+    /// Its id. Equal parts of different prompts have the same id.
     pub id: PartId,
     /// Its size in tokens.
     pub tokens: u32,
 }
 
-/// What a caller says of a generation.
+/// A caller's description of a generation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Prompt {
     /// The model's name.
@@ -43,20 +44,20 @@
     pub input_tokens: u32,
     /// Tokens of output at most.
     pub max_output_tokens: u32,
-    /// The prompt's parts; the last is the request's own.
+    /// The prompt's parts. The last one belongs to this request alone.
     pub parts: Vec<Part>,
 }
 
-/// What a caller says in the head of a request.
+/// The decoded head of a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestHead {
-    /// The id of this sending, if the caller gave one.
+    /// The id of this attempt, if the caller gave one.
     pub attempt_id: Option<AttemptId>,
     /// How long the caller waits from now on.
     pub deadline: Option<Duration>,
     /// The prompt, if this is a generation.
     pub prompt: Option<Prompt>,
-    /// What shows whose request it is.
+    /// The credential that identifies the caller.
     pub credential: Credential,
 }
 
@@ -69,134 +70,135 @@
     pub id: CompactString,
 }
 
-/// What a target is asked to do with a request.
+/// Which part of a request a target is to perform.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub enum Step {
     /// All of it.
     #[default]
     Whole,
-    /// Read the prompt and keep its KV cache under a handle.
+    /// Prefill the prompt, and hold its KV cache under a handle.
     Prefill,
-    /// Go on from KV cache that was read elsewhere.
+    /// Decode from KV cache that another engine prefilled.
     Decode(KvHandle),
 }
 
-/// One sending to one target, as far as headers tell of it.
+/// What the headers of one attempt at one target carry.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHead {
-    /// The caller's id of the sending: an answer that names another belongs elsewhere.
+    /// The caller's id of the attempt. A response with another id belongs to another request.
     pub attempt_id: Option<AttemptId>,
-    /// What is to be done.
+    /// Which part of the request is to be performed.
     pub step: Step,
-    /// The target meant; another one at its address has to refuse.
+    /// The intended target. Another one at its address has to refuse.
     pub target: TargetId,
     /// How long the target may work.
     pub deadline: Duration,
-    /// A target from which this one first copies what it keeps of the prompt.
+    /// A target from which this one first copies what that one has cached of the prompt.
     pub fetch_from: Option<SocketAddr>,
-    /// The last event delivered, when a broken stream goes on at this target.
+    /// The last event delivered, if this target is to resume a broken stream.
     pub last_event_id: Option<u64>,
-    /// How urgent this is among the target's requests: 0 goes first, 9 last.
+    /// The priority among the target's requests: 0 goes first, 9 last.
     pub priority: Option<u8>,
-    /// Whose request it is: the target is told the customer, and never the key.
+    /// The caller. The target receives the customer's name, and never the key.
     pub caller: Caller,
 }
 
-/// How busy a target says it is.
+/// The load that a target reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests that wait.
+    /// Requests that are waiting.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub slots: u32,
 }
 
-/// What a target says in the head of an answer.
+/// The decoded head of a target's response.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ResponseHead {
-    /// The sending that this answers.
+    /// The id of the attempt that this responds to.
     pub attempt_id: Option<AttemptId>,
-    /// Whether the target says that it did not and will not run the request.
+    /// Whether the target reports that it did not and will not run the request.
     pub not_run: bool,
-    /// How busy it is.
+    /// Its load.
     pub load: Option<ReportedLoad>,
-    /// For how long it keeps an idle connection.
+    /// How long it keeps an idle connection.
     pub keep_alive: Option<Duration>,
-    /// What it says of itself.
+    /// Signals about the target itself.
     pub signals: Signals,
 }
 
-/// The result of reading a target's answer to an internal call.
+/// The result of decoding a target's response to an internal call.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// An answer to an internal call that makes no sense.
+/// A response to an internal call that can't be decoded.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{step}: {detail}")]
 pub struct Error {
-    /// What was being read.
+    /// What was being decoded.
     pub step: &'static str,
-    /// What was wrong.
+    /// The cause.
     pub detail: CompactString,
 }
 
 /// An order to an engine to change its stage.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageOrder {
-    /// The stage it is to have.
+    /// The new stage.
     pub stage: Stage,
-    /// The process that orders.
+    /// The process that gives the order.
     pub holder: CompactString,
-    /// The place of its lease in the log: engines refuse lower ones than they have seen.
+    /// The fencing token of its lease, from the lease's offset in the log. Engines refuse lower
+    /// ones than they have seen.
     pub fencing_token: u64,
-    /// Orders that the engine has to have accepted so far, for this one to count.
+    /// The number of orders that the engine must have accepted before, for this one to be valid.
     pub expected: u64,
 }
 
-/// An engine's own account of its state.
+/// An engine's report of its state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineReport {
     /// Its stage.
     pub stage: Option<Stage>,
-    /// Whether it carries out an order.
+    /// Whether it is carrying out an order.
     pub order_in_progress: bool,
-    /// Orders that it has accepted in this life.
+    /// The number of orders that it has accepted in this incarnation.
     pub accepted_orders: u64,
-    /// When this life of it began, if it says so.
+    /// The incarnation, if the engine reports it.
     pub incarnation: Option<Incarnation>,
 }
 
 /// Translates between headers or small bodies and the product's types.
 pub trait Codec: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     fn decode_request(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Makes the headers of a sending from the caller's.
-    fn attempt_headers(&self, headers: &HeaderMap, sending: &AttemptHead) -> HeaderMap;
+    /// Makes the headers of an attempt from the caller's headers.
+    fn attempt_headers(&self, headers: &HeaderMap, attempt: &AttemptHead) -> HeaderMap;
 
-    /// Reads the head of a target's answer.
+    /// Decodes the head of a target's response.
     fn decode_response(&self, status: StatusCode, headers: &HeaderMap) -> ResponseHead;
 
-    /// Removes from a target's answer what concerns only its connection.
+    /// Removes from a target's response the headers that concern only its connection.
     fn strip_connection_headers(&self, headers: &mut HeaderMap);
 
-    /// Reads the answer to [`Step::Prefill`]: the id of the KV cache.
+    /// Decodes the response to [`Step::Prefill`]: the id of the KV cache.
     fn decode_handle(&self, body: &[u8]) -> Result<CompactString>;
 
     /// The path that frees a handle, for a `DELETE`.
     fn free_path(&self, handle: &str) -> String;
 
-    /// The path of the list of what an engine keeps of prompts, for a `GET`.
+    /// The path of the list of prompt parts in an engine's prefix cache, for a `GET`.
     fn prefix_cache_path(&self) -> &'static str;
 
-    /// Reads that list.
+    /// Decodes that list.
     fn decode_prefix_cache(&self, body: &[u8]) -> Result<Vec<Part>>;
 
     /// The path of an engine's report, for a `GET`.
     fn report_path(&self) -> &'static str;
 
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     fn decode_report(&self, body: &[u8]) -> Result<EngineReport>;
 
     /// The path and body of an order, for a `POST`.
--- a/crates/direct/src/log_search.rs
+++ b/crates/direct/src/log_search.rs
@@ -1,15 +1,16 @@
-//! Searches in the log files of several processes.
+//! Searches the log files of several processes.
 //!
-//! A line is one event with `key=value` pairs, of which the first is `timestamp`. Lines that begin
-//! with something else, such as a collector's own prefix, are read from the first `timestamp=` on.
+//! A line is one event with `key=value` pairs, of which the first is `timestamp`. In lines that
+//! begin with something else, such as a collector's prefix, everything before the first
+//! `timestamp=` is ignored.
 
 use compact_str::CompactString;
 
-/// Modules whose lines tell what a process believes, not what it did for a request.
-const BELIEFS: [&str; 8] =
+/// Modules whose lines report the state that a process knows of, not what it did for a request.
+const STATE_MODULES: [&str; 8] =
     ["config", "fleet", "stages", "store", "bulletin", "peers", "process", "unknown"];
 
-/// The text of one process's log, with the name it is shown under.
+/// The log of one process, with the name under which it is shown.
 #[derive(Debug, Clone, Copy)]
 pub struct Source<'a> {
     /// The name.
@@ -25,41 +26,40 @@
     text: &'a str,
 }
 
-/// One request's lines over all processes, in order, each process's first preceded by what it
-/// believed at that time: its configuration, and the last word on each target that the lines name.
+/// Returns one request's lines from all processes, in order. Each process's first line is preceded
+/// by the state that it knew at that time: its configuration, and the last line on each target that
+/// the request's lines name.
 pub fn request(id: &str, sources: &[Source<'_>]) -> Vec<String> {
-    let mut told = Vec::new();
+    let mut found = Vec::new();
     for source in sources {
         let all: Vec<Line<'_>> = lines(*source).collect();
         let ours: Vec<_> = all.iter().filter(|line| value(line.text, "id") == Some(id)).collect();
         let Some(first) = ours.first() else { continue };
         let named: String = ours.iter().map(|line| line.text).collect();
         let before = all.iter().take_while(|line| line.time <= first.time);
-        for belief in beliefs_before(before, &named) {
-            told.push((first.time, source.name, 0, format!("believed {}", show(belief))));
+        for change in state_before(before, &named) {
+            found.push((first.time, source.name, 0, format!("believed {}", format_line(change))));
         }
-        told.extend(ours.iter().map(|line| (line.time, source.name, 1, show(line))));
+        found.extend(ours.iter().map(|line| (line.time, source.name, 1, format_line(line))));
     }
-    told.sort();
-    told.into_iter().map(|(_, source, _, text)| format!("{source} {text}")).collect()
+    found.sort();
+    found.into_iter().map(|(_, source, _, text)| format!("{source} {text}")).collect()
 }
 
-/// What the processes came to believe from `from` to `to`, both as the log writes times, in order.
+/// Returns the state changes that the processes logged from `from` to `to`, both as the log writes
+/// times, in order.
 pub fn state_changes(from: &str, to: &str, sources: &[Source<'_>]) -> Vec<String> {
     let all = sources.iter().flat_map(|source| lines(*source));
     let span = all.filter(|line| line.time >= from && line.time <= to);
-    let mut changes: Vec<_> = span.filter(|line| is_belief(line.text)).collect();
+    let mut changes: Vec<_> = span.filter(|line| is_state_change(line.text)).collect();
     changes.sort();
-    changes.iter().map(|line| format!("{} {}", line.source, show(line))).collect()
+    changes.iter().map(|line| format!("{} {}", line.source, format_line(line))).collect()
 }
 
 /// The configuration in force, and the last line on each target that `named` contains.
-fn beliefs_before<'a>(
-    before: impl Iterator<Item = &'a Line<'a>>,
-    named: &str,
-) -> Vec<&'a Line<'a>> {
+fn state_before<'a>(before: impl Iterator<Item = &'a Line<'a>>, named: &str) -> Vec<&'a Line<'a>> {
     let mut last: Vec<(CompactString, &Line<'_>)> = Vec::new();
-    for line in before.filter(|line| is_belief(line.text)) {
+    for line in before.filter(|line| is_state_change(line.text)) {
         let subject = match (value(line.text, "module"), value(line.text, "target_id")) {
             (Some("config"), _) => "config",
             (Some("fleet"), Some(target)) if named.contains(target) => target,
@@ -79,12 +79,12 @@
     })
 }
 
-fn is_belief(text: &str) -> bool {
-    value(text, "module").is_some_and(|module| BELIEFS.contains(&module))
+fn is_state_change(text: &str) -> bool {
+    value(text, "module").is_some_and(|module| STATE_MODULES.contains(&module))
 }
 
-/// The line without what a reader of a story has no use for.
-fn show(line: &Line<'_>) -> String {
+/// Formats a line without the fields that don't help the reader.
+fn format_line(line: &Line<'_>) -> String {
     let rest = line.text.split_once(" module=").map_or(line.text, |(_, rest)| rest);
     let (module, rest) = rest.split_once(' ').unwrap_or((rest, ""));
     let rest = match rest.strip_prefix("position=") {
--- a/crates/direct/src/logging.rs
+++ b/crates/direct/src/logging.rs
@@ -1,5 +1,5 @@
-//! Log lines on standard output that never delay the work: a bounded queue, a writer of its own,
-//! and a budget of lines a second for each event.
+//! Logging to standard output that never blocks: a bounded queue, a writer thread, and a rate limit
+//! for each event.
 
 use logforth::append::Append;
 use logforth::filter::rustlog::RustLogFilterBuilder;
@@ -13,77 +13,80 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines that wait for the writer at most; at 300 bytes a line this is 300 KB.
-const MAX_WAITING: usize = 1_024;
+/// Lines in the queue at most. At 300 bytes a line this is 300 KB.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// Lines a second of one event that are written in full; more are counted and dropped.
-const LINES_A_SECOND: u32 = 150;
+/// Lines per second of one event that are written. Further ones are counted and dropped.
+const LINES_PER_SECOND: u32 = 150;
 
-/// Lines a second of a warning, which tells of a request that was not served.
-const WARNINGS_A_SECOND: u32 = 300;
+/// Lines per second of a warning, which reports a request that was not served.
+const WARNINGS_PER_SECOND: u32 = 300;
 
-/// The length of the span in which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// The window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
-/// How long lines are gathered before they are written. A process that is killed loses no more than
-/// the lines of this time; one that stops waits for it.
+/// How long lines are collected before they are written. A process that is killed loses at most the
+/// lines of this time; one that stops waits for it.
 pub const FLUSH_INTERVAL: Duration = Duration::from_millis(50);
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines dropped since the start.
+/// The number of lines dropped since the start.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-/// Writes lines through a bounded queue.
+/// Writes log lines through a bounded queue.
 #[derive(Debug)]
 pub struct QueuedAppender {
     layout: LogfmtLayout,
     queue: SyncSender<Vec<u8>>,
-    spans: Mutex<Spans>,
+    window: Mutex<WindowCounts>,
 }
 
 #[derive(Debug)]
-struct Spans {
+struct WindowCounts {
     began: Instant,
     lines: HashMap<&'static str, u32>,
     dropped: u64,
 }
 
-/// Starts logging to standard output; `RUST_LOG` chooses levels by module.
+/// Starts logging to standard output. `RUST_LOG` sets levels by module.
 pub fn start(default: &str) {
     let filter = RustLogFilterBuilder::from_default_env_or(default);
-    let journal = QueuedAppender::new(std::io::stdout());
-    logforth::starter_log::builder().dispatch(|d| d.filter(filter.build()).append(journal)).apply();
+    let appender = QueuedAppender::new(std::io::stdout());
+    logforth::starter_log::builder()
+        .dispatch(|d| d.filter(filter.build()).append(appender))
+        .apply();
 }
 
 impl QueuedAppender {
-    /// A journal that writes to `output` from a thread of its own.
+    /// Creates an appender that writes to `output` from a thread of its own.
     pub fn new(output: impl Write + Send + 'static) -> Self {
-        let (queue, lines) = sync_channel(MAX_WAITING);
+        let (queue, lines) = sync_channel(QUEUE_CAPACITY);
         std::thread::spawn(move || write(lines, output));
         let layout = LogfmtLayout::default().timezone(jiff::tz::TimeZone::UTC);
-        let spans = Spans { began: Instant::now(), lines: HashMap::new(), dropped: 0 };
-        Self { layout, queue, spans: Mutex::new(spans) }
+        let window = WindowCounts { began: Instant::now(), lines: HashMap::new(), dropped: 0 };
+        Self { layout, queue, window: Mutex::new(window) }
     }
 
-    /// Whether the event may write another line now; tells what was dropped as a span ends.
-    fn admit(&self, event: &'static str, most: u32) -> (bool, u64) {
-        let mut spans = self.spans.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut told = 0;
-        if spans.began.elapsed() >= SPAN {
-            spans.began = Instant::now();
-            spans.lines.clear();
-            told = std::mem::take(&mut spans.dropped);
+    /// Returns whether the event may write another line now, and when a window ends, how many lines
+    /// were dropped in it.
+    fn admit(&self, event: &'static str, limit: u32) -> (bool, u64) {
+        let mut window = self.window.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut dropped = 0;
+        if window.began.elapsed() >= WINDOW {
+            window.began = Instant::now();
+            window.lines.clear();
+            dropped = std::mem::take(&mut window.dropped);
         }
-        let lines = spans.lines.entry(event).or_default();
+        let lines = window.lines.entry(event).or_default();
         *lines += 1;
-        let admitted = *lines <= most;
+        let admitted = *lines <= limit;
         if !admitted {
-            spans.dropped += 1;
+            window.dropped += 1;
         }
-        (admitted, told)
+        (admitted, dropped)
     }
 
     fn push(&self, line: Vec<u8>) {
@@ -96,18 +99,18 @@
 
     fn count_dropped(&self) {
         DROPPED.fetch_add(1, Ordering::Relaxed);
-        self.spans.lock().unwrap_or_else(PoisonError::into_inner).dropped += 1;
+        self.window.lock().unwrap_or_else(PoisonError::into_inner).dropped += 1;
     }
 }
 
-/// Writes lines in batches: one call a batch, because a call and a wake-up cost more than a line.
+/// Writes lines in batches with one call each, because a call and a wake-up cost more than a line.
 fn write(lines: Receiver<Vec<u8>>, mut output: impl Write) {
     while let Ok(mut batch) = lines.recv() {
         std::thread::sleep(FLUSH_INTERVAL);
         while let Ok(line) = lines.try_recv() {
             batch.extend_from_slice(&line);
         }
-        // A reader that is gone takes no line that would tell of it.
+        // If the reader is gone, it can't receive a line that reports this either.
         let _ = output.write_all(&batch);
         if let Err(error) = output.flush() {
             DROPPED.fetch_add(1, Ordering::Relaxed);
@@ -122,10 +125,12 @@
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let event = record.payload_static().unwrap_or("other");
         let warning = record.level() >= logforth::record::Level::Warn;
-        let most = if warning { WARNINGS_A_SECOND } else { LINES_A_SECOND };
-        let (admitted, told) = self.admit(event, most);
-        if told > 0 {
-            self.push(format!("level=WARN message=\"lines dropped\" count={told}\n").into_bytes());
+        let limit = if warning { WARNINGS_PER_SECOND } else { LINES_PER_SECOND };
+        let (admitted, dropped) = self.admit(event, limit);
+        if dropped > 0 {
+            self.push(
+                format!("level=WARN message=\"lines dropped\" count={dropped}\n").into_bytes(),
+            );
         }
         if !admitted {
             DROPPED.fetch_add(1, Ordering::Relaxed);
--- a/crates/direct/src/probe.rs
+++ b/crates/direct/src/probe.rs
@@ -1,4 +1,4 @@
-//! Small pages for the balancer and the monitoring: whether the entry is ready, and its metrics.
+//! Serves small pages to the balancer and to monitoring: readiness and metrics.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -12,11 +12,11 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// Answers the request for one page by its path: status and text.
+/// Returns the status and text of a page by its path.
 pub type Page = Arc<dyn Fn(&str) -> (StatusCode, String) + Send + Sync>;
 
-/// How long a connection may be idle: the balancer asks every second.
-const IDLE: Duration = Duration::from_secs(10);
+/// How long a connection may be idle: the balancer checks every second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -41,7 +41,7 @@
                 async move { Ok::<_, Infallible>(response) }
             });
             let mut builder = http1::Builder::new();
-            builder.timer(TokioTimer::new()).header_read_timeout(IDLE);
+            builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT);
             if let Err(error) = builder.serve_connection(TokioIo::new(stream), service).await {
                 log::debug!(target: "intake", error:% = error; "probe ended");
             }
