--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -1,5 +1,5 @@
-//! What entries know of each other and of the log, and the messages between them. No task runs here, and
-//! nothing here knows the whole entry.
+//! What entries know of each other and of the log, and the messages between them. No task runs
+//! here, and nothing here depends on the state of the whole entry.
 
 pub mod clock;
 pub mod coordinator;
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The process: its tasks, when it is ready, and how it stops.
+//! The process: its tasks, its readiness, and its shutdown.
 
 use crate::duty::billing::{self, UsageReporter};
 use crate::duty::cache_inventory;
@@ -7,7 +7,7 @@
 use crate::exchange::entry_stream::{self, StreamView};
 use crate::exchange::follow::{self, Decode};
 use crate::exchange::gossip;
-use crate::instrumented_log::Measured;
+use crate::instrumented_log::InstrumentedLog;
 use crate::probe;
 use crate::request::server::CallerServer;
 use crate::shared::{Shared, Stop};
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The result of starting.
+/// The result of starting an entry.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Why an entry can't start.
@@ -33,39 +33,39 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What was seen.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-/// Where an entry listens, and how long a stop may take.
+/// The addresses at which an entry listens, and how long a shutdown may take.
 #[derive(Debug, Clone)]
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's question whether it is ready.
+    /// For the balancer's readiness checks.
     pub readiness: SocketAddr,
     /// For metrics.
     pub metrics: SocketAddr,
     /// For the other entries' datagrams.
     pub peers: SocketAddr,
-    /// How long a stop may take before the process is killed.
+    /// How long a shutdown may take before the process is killed.
     pub grace: Duration,
 }
 
-/// How long an entry that stops still takes connections as usual: the balancer asks each second
-/// and needs two misses.
-const NOTICE: Duration = Duration::from_millis(2_600);
+/// How long an entry that is stopping still accepts connections as usual: the balancer checks each
+/// second and needs two failures.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 
-/// How much of the grace is left for the process to end by itself.
-const LAST: Duration = Duration::from_millis(400);
+/// How much of the grace period is reserved for the process to exit by itself.
+const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// How long before that it takes no more connections: while the balancer has no other entry it goes
-/// on sending callers to those that stop, and each has to be told something.
-const DEAF: Duration = Duration::from_millis(600);
+/// How long before the deadline it accepts no more connections. While the balancer has no other
+/// entry it goes on sending callers to those that are stopping, and each of them needs a response.
+const STOP_ACCEPTING_BEFORE: Duration = Duration::from_millis(600);
 
-/// How often a stopping entry looks whether its connections have ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often an entry that is stopping checks whether its connections have ended.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// An entry that is bound to its addresses but does not run yet.
 pub struct Daemon {
@@ -74,13 +74,13 @@
     readiness: TcpListener,
     metrics: TcpListener,
     peers: UdpSocket,
-    meter: Option<(Arc<dyn UsageReporter>, billing::Settings)>,
-    /// The addresses really bound.
+    reporter: Option<(Arc<dyn UsageReporter>, billing::Settings)>,
+    /// The addresses that were actually bound.
     pub addresses: Addresses,
 }
 
 impl Daemon {
-    /// Binds the addresses; port 0 takes a free one.
+    /// Binds the addresses. Port 0 binds a free port.
     pub async fn bind(shared: Arc<Shared>, addresses: Addresses) -> Result<Self> {
         let (callers, at_callers) = listen(addresses.callers).await?;
         let (readiness, at_readiness) = listen(addresses.readiness).await?;
@@ -95,32 +95,32 @@
             metrics: at_metrics,
             ..addresses
         };
-        Ok(Self { shared, callers, readiness, metrics, peers, meter: None, addresses })
+        Ok(Self { shared, callers, readiness, metrics, peers, reporter: None, addresses })
     }
 
-    /// The same entry, which also bills what customers use.
+    /// Returns the same entry, which also bills customers' usage.
     #[must_use]
-    pub fn billing(self, meter: Arc<dyn UsageReporter>, settings: billing::Settings) -> Self {
-        Self { meter: Some((meter, settings)), ..self }
+    pub fn billing(self, reporter: Arc<dyn UsageReporter>, settings: billing::Settings) -> Self {
+        Self { reporter: Some((reporter, settings)), ..self }
     }
 
-    /// Runs until `stop` is cancelled and the answers are given.
+    /// Runs until `stop` is cancelled and the open requests are complete.
     pub async fn run(
         self,
         log: Arc<dyn KeyedLog>,
         decode: Arc<dyn Decode>,
         stop: CancellationToken,
     ) {
-        let Self { shared, callers, readiness, metrics, peers, meter, addresses } = self;
-        let log: Arc<dyn KeyedLog> = Arc::new(Measured::new(log, shared.metrics.clone()));
+        let Self { shared, callers, readiness, metrics, peers, reporter, addresses } = self;
+        let log: Arc<dyn KeyedLog> = Arc::new(InstrumentedLog::new(log, shared.metrics.clone()));
         let peers = Arc::new(peers);
         shared.post.open(peers.clone());
-        let (ending, last) = (CancellationToken::new(), CancellationToken::new());
-        let intake = Arc::new(CallerServer::new(stop.clone(), ending.clone()));
+        let (close_idle, stop_accepting) = (CancellationToken::new(), CancellationToken::new());
+        let server = Arc::new(CallerServer::new(stop.clone(), close_idle.clone()));
         let mut tasks = JoinSet::new();
         tasks.spawn(follow::config(shared.clone(), log.clone(), decode.clone()));
         tasks.spawn(follow::targets(shared.clone(), log.clone(), decode));
-        let (told, heard) = watch::channel(StreamView::default());
+        let (updates, view) = watch::channel(StreamView::default());
         tasks.spawn(entry_stream::publish_heartbeats(
             shared.clone(),
             log.clone(),
@@ -128,19 +128,19 @@
             stop.clone(),
         ));
         tasks.spawn(entry_stream::publish_suspects(shared.clone(), log.clone()));
-        tasks.spawn(entry_stream::follow(shared.clone(), log.clone(), told));
+        tasks.spawn(entry_stream::follow(shared.clone(), log.clone(), updates));
         tasks.spawn(gossip::publish(shared.clone(), peers.clone()));
         tasks.spawn(gossip::receive(shared.clone(), peers));
-        if let Some((meter, settings)) = meter {
-            let life = shared.post.unique_id();
-            shared.usage.start(settings.window, life);
+        if let Some((reporter, settings)) = reporter {
+            let incarnation = shared.post.unique_id();
+            shared.usage.start(settings.window, incarnation);
             tasks.spawn(metering::run(shared.clone()));
-            tasks.spawn(billing::run(shared.clone(), log.clone(), meter, settings, life));
+            tasks.spawn(billing::run(shared.clone(), log.clone(), reporter, settings, incarnation));
         }
-        tasks.spawn(stage_planner::run(shared.clone(), log, heard));
+        tasks.spawn(stage_planner::run(shared.clone(), log, view));
         tasks.spawn(cache_inventory::run(shared.clone()));
-        tasks.spawn(upkeep(shared.clone()));
-        tasks.spawn(intake.clone().accept(shared.clone(), callers, last.clone()));
+        tasks.spawn(expire_targets(shared.clone()));
+        tasks.spawn(server.clone().accept(shared.clone(), callers, stop_accepting.clone()));
         tasks.spawn(probe::serve(readiness, ready_page(shared.clone(), stop.clone())));
         tasks.spawn(probe::serve(metrics, metrics_page(shared.clone())));
         log::info!(target: "process", name = shared.settings.name.as_str(),
@@ -148,39 +148,39 @@
         stop.cancelled().await;
         let plan = plan_stop(Instant::now(), addresses.grace);
         shared.stop(plan);
-        drain(&intake, &ending, &last, plan).await;
+        drain(&server, &close_idle, &stop_accepting, plan).await;
     }
 }
 
 fn plan_stop(now: Instant, grace: Duration) -> Stop {
-    let grace = grace.saturating_sub(LAST);
-    Stop { drain_at: now + NOTICE.min(grace / 2), deadline: now + grace }
+    let grace = grace.saturating_sub(EXIT_RESERVE);
+    Stop { drain_at: now + DRAIN_DELAY.min(grace / 2), deadline: now + grace }
 }
 
-/// Lets the balancer notice, then the callers' connections end.
+/// Waits for the balancer to notice, then for the callers' connections to end.
 async fn drain(
-    intake: &CallerServer,
-    ending: &CancellationToken,
-    last: &CancellationToken,
+    server: &CallerServer,
+    close_idle: &CancellationToken,
+    stop_accepting: &CancellationToken,
     stop: Stop,
 ) {
     let began = Instant::now();
-    log::info!(target: "process", connections = intake.open_connections(); "stopping");
+    log::info!(target: "process", connections = server.open_connections(); "stopping");
     tokio::time::sleep_until(stop.drain_at).await;
-    ending.cancel();
-    while intake.open_connections() > 0 && Instant::now() < stop.deadline {
-        if Instant::now() + DEAF >= stop.deadline {
-            last.cancel();
+    close_idle.cancel();
+    while server.open_connections() > 0 && Instant::now() < stop.deadline {
+        if Instant::now() + STOP_ACCEPTING_BEFORE >= stop.deadline {
+            stop_accepting.cancel();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    log::info!(target: "process", cut = intake.open_connections(), ms = began.elapsed().as_millis(); "stopped");
+    log::info!(target: "process", cut = server.open_connections(), ms = began.elapsed().as_millis(); "stopped");
 }
 
 fn ready_page(shared: Arc<Shared>, stop: CancellationToken) -> probe::Page {
     Arc::new(move |_| {
-        let knows = shared.table.borrow().is_some() && !shared.fleet().is_empty();
-        if knows && !stop.is_cancelled() {
+        let has_data = shared.table.borrow().is_some() && !shared.fleet().is_empty();
+        if has_data && !stop.is_cancelled() {
             (StatusCode::OK, "ready".into())
         } else {
             (StatusCode::SERVICE_UNAVAILABLE, "not ready".into())
@@ -195,22 +195,22 @@
         shared.metrics.unknown_names.set(i64::try_from(unknown).unwrap_or(i64::MAX));
         shared.metrics.dropped_lines.set(i64::try_from(dropped).unwrap_or(i64::MAX));
         let now = Instant::now();
-        let standings = shared.workload.availability.counts(now);
-        shared.metrics.leaving.set(standings.leaving);
-        shared.metrics.paused.set(standings.paused);
-        for seen in shared.tail.read_statuses(now) {
-            shared.metrics.age(seen.topic.name(), seen.age);
+        let unavailable = shared.workload.availability.counts(now);
+        shared.metrics.leaving.set(unavailable.leaving);
+        shared.metrics.paused.set(unavailable.paused);
+        for status in shared.tail.read_statuses(now) {
+            shared.metrics.age(status.topic.name(), status.age);
         }
         (StatusCode::OK, shared.metrics.text())
     })
 }
 
-/// How often it is looked whether targets have lapsed.
-const UPKEEP: Duration = Duration::from_millis(100);
+/// How often targets whose records have expired are removed.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-async fn upkeep(shared: Arc<Shared>) {
+async fn expire_targets(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(UPKEEP).await;
+        tokio::time::sleep(EXPIRY_INTERVAL).await;
         shared.fleet().expire(Instant::now());
     }
 }
--- a/crates/direct/src/duty.rs
+++ b/crates/direct/src/duty.rs
@@ -1,4 +1,5 @@
-//! What one entry does for all: engines are split and ordered, usage is billed, engines are asked what they keep.
+//! Tasks that one entry performs for all: it splits engines between prefill and decode and orders
+//! them, bills usage, and asks engines what they have cached.
 
 pub mod billing;
 pub mod cache_inventory;
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,5 +1,5 @@
-//! Keeps entries in step: reads the log and passes it on, publishes and receives what entries tell each other,
-//! answers as a coordinator.
+//! Keeps entries in sync: reads the log and forwards the records, publishes and receives the state
+//! of the entries, and responses requests as a coordinator.
 
 pub mod broadcast;
 pub mod coordination;
--- a/crates/direct/src/instrumented_log.rs
+++ b/crates/direct/src/instrumented_log.rs
@@ -1,4 +1,4 @@
-//! A log whose calls are counted and timed, whoever makes them.
+//! A log that counts and times the calls to it.
 
 use crate::metrics::Metrics;
 use async_trait::async_trait;
@@ -8,35 +8,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A log and the metrics of its calls.
-pub struct Measured {
+/// A log that records metrics of the calls to it.
+pub struct InstrumentedLog {
     log: Arc<dyn KeyedLog>,
     metrics: Arc<Metrics>,
 }
 
-impl Measured {
-    /// Measures the calls to `log`.
+impl InstrumentedLog {
+    /// Records the calls to `log` in `metrics`.
     pub fn new(log: Arc<dyn KeyedLog>, metrics: Arc<Metrics>) -> Self {
         Self { log, metrics }
     }
 
-    fn note<T>(&self, call: &'static str, began: Instant, answer: Result<T>) -> Result<T> {
-        let went = match &answer {
+    fn record<T>(&self, call: &'static str, began: Instant, result: Result<T>) -> Result<T> {
+        let outcome = match &result {
             Ok(_) => "ok",
             Err(Error::Gone { .. }) => "gone",
             Err(Error::Moved { .. }) => "moved",
             Err(_) => "failed",
         };
-        self.metrics.store(call, went, began.elapsed());
-        answer
+        self.metrics.log_call(call, outcome, began.elapsed());
+        result
     }
 }
 
 #[async_trait]
-impl Log for Measured {
+impl Log for InstrumentedLog {
     async fn append(&self, stream: &str, records: Vec<Bytes>) -> Result<Offset> {
         let began = Instant::now();
-        self.note("append", began, self.log.append(stream, records).await)
+        self.record("append", began, self.log.append(stream, records).await)
     }
 
     async fn read(
@@ -47,15 +47,15 @@
         wait: Duration,
     ) -> Result<Batch> {
         let began = Instant::now();
-        self.note("read", began, self.log.read(stream, from, limit, wait).await)
+        self.record("read", began, self.log.read(stream, from, limit, wait).await)
     }
 }
 
 #[async_trait]
-impl KeyedLog for Measured {
+impl KeyedLog for InstrumentedLog {
     async fn newest(&self, stream: &str) -> Result<Newest> {
         let began = Instant::now();
-        self.note("newest", began, self.log.newest(stream).await)
+        self.record("newest", began, self.log.newest(stream).await)
     }
 
     async fn changes(
@@ -65,11 +65,11 @@
         wait: Duration,
     ) -> Result<(Vec<Record>, Offset)> {
         let began = Instant::now();
-        self.note("changes", began, self.log.changes(stream, from, wait).await)
+        self.record("changes", began, self.log.changes(stream, from, wait).await)
     }
 
     async fn append_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset> {
         let began = Instant::now();
-        self.note("append-at", began, self.log.append_at(stream, at, record).await)
+        self.record("append-at", began, self.log.append_at(stream, at, record).await)
     }
 }
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,16 +1,17 @@
-//! An entry that sends requests straight to targets, where no agent stands beside them.
+//! An entry that sends requests directly to targets, for deployments without agents.
 //!
 //! From the bottom up, each folder imports only those before it:
 //!
-//! - [`config`]: what the operator decides.
-//! - [`codec`] and [`buffered_request`]: what callers and targets say, in the product's own types. A deployment's adapter
-//!   implements [`codec::Codec`], and [`exchange::follow::Decode`] for records.
-//! - [`targets`]: targets as this entry knows them, and one sending to one of them.
-//! - [`cluster`]: what entries know of each other and of the log, and their messages.
+//! - [`config`]: what operators configure.
+//! - [`codec`] and [`buffered_request`]: requests and responses in the product's own types. A
+//!   deployment's adapter implements [`codec::Codec`], and [`exchange::follow::Decode`] for
+//!   records.
+//! - [`targets`]: this entry's view of the targets, and single attempts to send to one of them.
+//! - [`cluster`]: what entries know of each other and of the log, and the messages between them.
 //! - [`shared`]: the state of one entry.
-//! - [`exchange`]: the tasks that keep entries in step.
-//! - [`duty`]: what one entry does for all.
-//! - [`request`]: the way of a request.
+//! - [`exchange`]: the tasks that keep entries in sync.
+//! - [`duty`]: the tasks that one entry performs for all.
+//! - [`request`]: the handling of a request.
 //! - [`daemon`]: all of it as a process.
 
 pub mod buffered_request;
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -14,7 +14,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// How a sending can have gone.
+/// The possible outcomes of an attempt.
 pub const OUTCOMES: [&str; 9] =
     ["ok", "failed", "refused", "not-sent", "unknown", "late", "limited", "leaving", "paused"];
 
@@ -23,35 +23,35 @@
 pub struct Outcome(pub &'static str);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     route: Text,
     outcome: Text,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ByRoute {
+struct RouteLabel {
     route: Text,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ByKind {
+struct KindLabel {
     kind: Text,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ByCall {
+struct CallLabels {
     call: Text,
     kind: Text,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct ByTarget {
+struct TargetLabels {
     target: Text,
     kind: Text,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct OfTarget {
+struct TargetLabel {
     target: Text,
 }
 
@@ -73,47 +73,48 @@
 /// All metrics of an entry.
 pub struct Metrics {
     registry: Mutex<Registry>,
-    ended: Family<Ended, Counter>,
-    first: Family<ByRoute, Histogram>,
-    took: Family<ByRoute, Histogram>,
-    gaps: Family<ByRoute, Histogram>,
-    sendings: Family<ByKind, Counter>,
-    sent: Family<ByKind, Histogram>,
-    answers: Family<ByTarget, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    first_piece: Family<RouteLabel, Histogram>,
+    request_seconds: Family<RouteLabel, Histogram>,
+    gaps: Family<RouteLabel, Histogram>,
+    attempts: Family<KindLabel, Counter>,
+    attempt_seconds: Family<KindLabel, Histogram>,
+    target_attempts: Family<TargetLabels, Counter>,
     /// Targets that have counters.
-    targets_told: Mutex<HashSet<CompactString>>,
-    store: Family<ByCall, Counter>,
-    reads: Family<ByCall, Counter>,
-    store_took: Family<ByKind, Histogram>,
-    extras: Family<ByKind, Counter>,
-    tokens: Family<ByKind, Counter>,
-    orders: Family<ByKind, Counter>,
-    permits: Family<ByKind, Counter>,
-    limits: Family<OfTarget, Gauge<f64, AtomicU64>>,
-    ages: Family<ByKind, Gauge<f64, AtomicU64>>,
+    known_targets: Mutex<HashSet<CompactString>>,
+    log_calls: Family<CallLabels, Counter>,
+    stream_reads: Family<CallLabels, Counter>,
+    log_call_seconds: Family<KindLabel, Histogram>,
+    extras: Family<KindLabel, Counter>,
+    prompt_tokens: Family<KindLabel, Counter>,
+    orders: Family<KindLabel, Counter>,
+    permits: Family<KindLabel, Counter>,
+    limits: Family<TargetLabel, Gauge<f64, AtomicU64>>,
+    ages: Family<KindLabel, Gauge<f64, AtomicU64>>,
     /// The version of the configuration in force.
     pub version: Gauge,
     /// The epoch of the log, see [`plat::epoch`].
     pub epoch: Gauge,
-    /// Targets known.
+    /// Targets that are listed.
     pub targets: Gauge,
-    /// Targets that lately said that they leave.
+    /// Targets that recently announced that they are leaving.
     pub leaving: Gauge,
-    /// Targets that want no requests from this entry now.
+    /// Targets that accept no requests from this entry now.
     pub paused: Gauge,
     /// Entries that share the work, this one included.
     pub entries: Gauge,
-    /// Lines of the log that were dropped.
+    /// Log lines that were dropped.
     pub dropped_lines: Gauge,
     /// Names that no decoder knows.
     pub unknown_names: Gauge,
 }
 
-/// The least latency told apart, in seconds; twelve buckets reach 2 s, the shortest deadline.
-const LEAST_LATENCY: f64 = 0.001;
+/// The upper bound of the first latency bucket, in seconds. Twelve buckets reach 2 s, the shortest
+/// deadline.
+const MIN_LATENCY: f64 = 0.001;
 
 fn latencies() -> Histogram {
-    Histogram::new(exponential_buckets(LEAST_LATENCY, 2.0, 12))
+    Histogram::new(exponential_buckets(MIN_LATENCY, 2.0, 12))
 }
 
 impl Default for Metrics {
@@ -121,19 +122,19 @@
         let mut registry = Registry::with_prefix("lapismast");
         let metrics = Self {
             registry: Mutex::default(),
-            ended: Family::default(),
-            first: Family::new_with_constructor(latencies),
-            took: Family::new_with_constructor(latencies),
+            requests: Family::default(),
+            first_piece: Family::new_with_constructor(latencies),
+            request_seconds: Family::new_with_constructor(latencies),
             gaps: Family::new_with_constructor(latencies),
-            sendings: Family::default(),
-            sent: Family::new_with_constructor(latencies),
-            answers: Family::default(),
-            targets_told: Mutex::default(),
-            store: Family::default(),
-            reads: Family::default(),
-            store_took: Family::new_with_constructor(latencies),
+            attempts: Family::default(),
+            attempt_seconds: Family::new_with_constructor(latencies),
+            target_attempts: Family::default(),
+            known_targets: Mutex::default(),
+            log_calls: Family::default(),
+            stream_reads: Family::default(),
+            log_call_seconds: Family::new_with_constructor(latencies),
             extras: Family::default(),
-            tokens: Family::default(),
+            prompt_tokens: Family::default(),
             orders: Family::default(),
             permits: Family::default(),
             limits: Family::default(),
@@ -148,29 +149,33 @@
             unknown_names: Gauge::default(),
         };
         metrics.register_requests(&mut registry);
-        metrics.register_sendings(&mut registry);
-        metrics.register_beliefs(&mut registry);
+        metrics.register_attempts(&mut registry);
+        metrics.register_state(&mut registry);
         Self { registry: Mutex::new(registry), ..metrics }
     }
 }
 
 impl Metrics {
     fn register_requests(&self, to: &mut Registry) {
-        to.register("requests", "Requests by outcome", self.ended.clone());
-        to.register("first_piece_seconds", "Time to the first piece", self.first.clone());
+        to.register("requests", "Requests by outcome", self.requests.clone());
+        to.register("first_piece_seconds", "Time to the first piece", self.first_piece.clone());
         to.register("gap_seconds", "Time between pieces of a stream", self.gaps.clone());
-        to.register("request_seconds", "Time of whole requests", self.took.clone());
+        to.register("request_seconds", "Time of whole requests", self.request_seconds.clone());
         to.register("extras", "Extra sendings, allowed and denied", self.extras.clone());
         to.register("log_lines_dropped", "Log lines dropped", self.dropped_lines.clone());
     }
 
-    fn register_sendings(&self, to: &mut Registry) {
-        to.register("sendings", "Sendings to targets by how they went", self.sendings.clone());
+    fn register_attempts(&self, to: &mut Registry) {
+        to.register("sendings", "Sendings to targets by how they went", self.attempts.clone());
         let sent = "Time until a target's head by step: it waits there and is worked on";
-        to.register("sending_seconds", sent, self.sent.clone());
-        to.register("target_answers", "Sendings by target and how they went", self.answers.clone());
+        to.register("sending_seconds", sent, self.attempt_seconds.clone());
+        to.register(
+            "target_answers",
+            "Sendings by target and how they went",
+            self.target_attempts.clone(),
+        );
         let tokens = "Prompt tokens: read, believed to be kept by an engine, read in vain";
-        to.register("prompt_tokens", tokens, self.tokens.clone());
+        to.register("prompt_tokens", tokens, self.prompt_tokens.clone());
         let permits = "Questions for permits to send to targets that named a limit";
         to.register("permits", permits, self.permits.clone());
         let limits = "Requests a second that targets said to take in";
@@ -178,11 +183,15 @@
         to.register("orders", "Orders to engines by how they went", self.orders.clone());
     }
 
-    fn register_beliefs(&self, to: &mut Registry) {
-        to.register("store_calls", "Calls to the log by how they went", self.store.clone());
-        to.register("store_reads", "Reads of streams by why they were made", self.reads.clone());
-        let took = "Time of calls to the log; reads wait for news";
-        to.register("store_call_seconds", took, self.store_took.clone());
+    fn register_state(&self, to: &mut Registry) {
+        to.register("store_calls", "Calls to the log by how they went", self.log_calls.clone());
+        to.register(
+            "store_reads",
+            "Reads of streams by why they were made",
+            self.stream_reads.clone(),
+        );
+        let log_call_seconds = "Time of calls to the log; reads wait for news";
+        to.register("store_call_seconds", log_call_seconds, self.log_call_seconds.clone());
         to.register("config_version", "Configuration in force", self.version.clone());
         to.register("read_age_seconds", "Time since streams were last read", self.ages.clone());
         to.register("log_epoch", "Times that the log came back older", self.epoch.clone());
@@ -197,84 +206,97 @@
     }
 
     /// Counts a request that ended.
-    pub fn request_ended(&self, route: &str, outcome: Outcome, took: Duration) {
+    pub fn request_ended(&self, route: &str, outcome: Outcome, duration: Duration) {
         let (route, outcome) = (Text::from(route), Text::from(outcome.0));
-        self.took.get_or_create(&ByRoute { route: route.clone() }).observe(took.as_secs_f64());
-        self.ended.get_or_create(&Ended { route, outcome }).inc();
+        self.request_seconds
+            .get_or_create(&RouteLabel { route: route.clone() })
+            .observe(duration.as_secs_f64());
+        self.requests.get_or_create(&RequestLabels { route, outcome }).inc();
     }
 
-    /// Takes in the time to a first piece.
-    pub fn first_piece(&self, route: &str, took: Duration) {
-        self.first.get_or_create(&ByRoute { route: route.into() }).observe(took.as_secs_f64());
+    /// Records the time to the first piece of a stream.
+    pub fn first_piece(&self, route: &str, duration: Duration) {
+        self.first_piece
+            .get_or_create(&RouteLabel { route: route.into() })
+            .observe(duration.as_secs_f64());
     }
 
     /// The histogram of times between pieces of a route's streams.
     pub fn gaps(&self, route: &str) -> Histogram {
-        self.gaps.get_or_create(&ByRoute { route: route.into() }).clone()
+        self.gaps.get_or_create(&RouteLabel { route: route.into() }).clone()
     }
 
-    /// Counts a sending to a target, and how long it took until the head of the answer.
-    pub fn attempt(&self, step: &str, target: &str, went: &'static str, took: Duration) {
-        self.sendings.get_or_create(&ByKind { kind: went.into() }).inc();
-        self.sent.get_or_create(&ByKind { kind: step.into() }).observe(took.as_secs_f64());
-        self.answers.get_or_create(&ByTarget { target: target.into(), kind: went.into() }).inc();
-        let mut told = self.targets_told.lock().unwrap_or_else(PoisonError::into_inner);
-        if !told.contains(target) {
-            told.insert(target.into());
+    /// Counts an attempt, and records the time until the head of the response.
+    pub fn attempt(&self, step: &str, target: &str, outcome: &'static str, duration: Duration) {
+        self.attempts.get_or_create(&KindLabel { kind: outcome.into() }).inc();
+        self.attempt_seconds
+            .get_or_create(&KindLabel { kind: step.into() })
+            .observe(duration.as_secs_f64());
+        self.target_attempts
+            .get_or_create(&TargetLabels { target: target.into(), kind: outcome.into() })
+            .inc();
+        let mut known = self.known_targets.lock().unwrap_or_else(PoisonError::into_inner);
+        if !known.contains(target) {
+            known.insert(target.into());
         }
     }
 
-    /// Drops the counters of targets that are gone: each restart of a target brings a new id.
+    /// Drops the counters of targets that are gone, since each restart of a target brings a new id.
     pub fn forget_targets(&self, is_known: impl Fn(&str) -> bool) {
-        let mut told = self.targets_told.lock().unwrap_or_else(PoisonError::into_inner);
-        told.retain(|target| {
+        let mut known = self.known_targets.lock().unwrap_or_else(PoisonError::into_inner);
+        known.retain(|target| {
             let known = is_known(target);
             if !known {
-                self.limits.remove(&OfTarget { target: Text(target.clone()) });
+                self.limits.remove(&TargetLabel { target: Text(target.clone()) });
                 for kind in OUTCOMES {
                     let (target, kind) = (Text(target.clone()), kind.into());
-                    self.answers.remove(&ByTarget { target, kind });
+                    self.target_attempts.remove(&TargetLabels { target, kind });
                 }
             }
             known
         });
     }
 
-    /// Counts a read of a stream by why it is made.
+    /// Counts a read of a log stream by its reason.
     pub fn stream_read(&self, stream: &'static str, reason: &'static str) {
-        self.reads.get_or_create(&ByCall { call: stream.into(), kind: reason.into() }).inc();
+        self.stream_reads
+            .get_or_create(&CallLabels { call: stream.into(), kind: reason.into() })
+            .inc();
     }
 
-    /// Counts a call to the log and how long it took.
-    pub fn store(&self, call: &'static str, went: &'static str, took: Duration) {
-        self.store.get_or_create(&ByCall { call: call.into(), kind: went.into() }).inc();
-        self.store_took.get_or_create(&ByKind { kind: call.into() }).observe(took.as_secs_f64());
+    /// Counts a call to the log, and records its duration.
+    pub fn log_call(&self, call: &'static str, outcome: &'static str, duration: Duration) {
+        self.log_calls.get_or_create(&CallLabels { call: call.into(), kind: outcome.into() }).inc();
+        self.log_call_seconds
+            .get_or_create(&KindLabel { kind: call.into() })
+            .observe(duration.as_secs_f64());
     }
 
-    /// Counts the tokens of a prompt: those that an engine has to read, and the rest.
-    pub fn prompt_tokens(&self, read: u64, kept: u64) {
-        self.tokens.get_or_create(&ByKind { kind: "read".into() }).inc_by(read);
-        self.tokens.get_or_create(&ByKind { kind: "kept".into() }).inc_by(kept);
+    /// Counts the tokens of a prompt: those that an engine has to prefill, and those that it has
+    /// cached.
+    pub fn prompt_tokens(&self, uncached: u64, cached: u64) {
+        self.prompt_tokens.get_or_create(&KindLabel { kind: "read".into() }).inc_by(uncached);
+        self.prompt_tokens.get_or_create(&KindLabel { kind: "kept".into() }).inc_by(cached);
     }
 
-    /// Counts the tokens of a prompt that was read for an output that no engine wrote.
+    /// Counts the tokens of a prompt that was prefilled, but whose output no engine decoded.
     pub fn wasted_prefill(&self, tokens: u64) {
-        self.tokens.get_or_create(&ByKind { kind: "vain".into() }).inc_by(tokens);
+        self.prompt_tokens.get_or_create(&KindLabel { kind: "vain".into() }).inc_by(tokens);
     }
 
-    /// Counts an order to an engine.
-    pub fn order(&self, went: &'static str) {
-        self.orders.get_or_create(&ByKind { kind: went.into() }).inc();
+    /// Counts an order to an engine by its outcome.
+    pub fn order(&self, outcome: &'static str) {
+        self.orders.get_or_create(&KindLabel { kind: outcome.into() }).inc();
     }
 
-    /// Counts a question for a permit by how it was answered.
+    /// Counts a permit request by its outcome.
     pub fn permit(&self, kind: &'static str) {
-        self.permits.get_or_create(&ByKind { kind: kind.into() }).inc();
+        self.permits.get_or_create(&KindLabel { kind: kind.into() }).inc();
     }
 
-    /// Takes in which limit a target names.
+    /// Sets the rate limit that a target reports, or removes it.
     pub fn limit(&self, target: &str, rate: Option<f64>) {
-        let target = OfTarget { target: target.into() };
+        let target = TargetLabel { target: target.into() };
         match rate {
             Some(rate) => {
                 self.limits.get_or_create(&target).set(rate);
@@ -285,22 +307,22 @@
         }
     }
 
-    /// Takes in how old the last read of a stream is.
+    /// Sets the age of the last read of a log stream.
     pub fn age(&self, stream: &'static str, age: Duration) {
-        self.ages.get_or_create(&ByKind { kind: stream.into() }).set(age.as_secs_f64());
+        self.ages.get_or_create(&KindLabel { kind: stream.into() }).set(age.as_secs_f64());
     }
 
-    /// Counts an extra sending that was allowed or denied.
+    /// Counts an extra attempt as allowed or denied.
     pub fn extra(&self, allowed: bool) {
         let kind = if allowed { "allowed" } else { "denied" }.into();
-        self.extras.get_or_create(&ByKind { kind }).inc();
+        self.extras.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// All of them as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
-        // Writing into a string can't fail.
+        // Writing to a string can't fail.
         let _ = encode(&mut text, &registry);
         text
     }
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,5 +1,5 @@
-//! The way of a request: `server`, `serve`, `plain` or `generate`, `dispatch`, `relay`, `response`. A `context` is what
-//! all steps know of it.
+//! The handling of a request: `server`, `serve`, `plain` or `generate`, `dispatch`, `relay`,
+//! `response`. A `context` holds the state that all steps share.
 
 pub mod attempts;
 pub mod context;
