--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -43,7 +43,7 @@
 pub struct Addresses {
     /// For callers.
     pub callers: SocketAddr,
-    /// For the balancer's readiness checks.
+    /// For the load balancer's readiness checks.
     pub readiness: SocketAddr,
     /// For metrics.
     pub metrics: SocketAddr,
@@ -53,15 +53,16 @@
     pub grace: Duration,
 }
 
-/// How long an entry that is stopping still accepts connections as usual: the balancer checks each
-/// second and needs two failures.
+/// How long an entry that is stopping still accepts connections as usual: the load balancer checks
+/// each second and needs two failures.
 const DRAIN_DELAY: Duration = Duration::from_millis(2_600);
 
 /// How much of the grace period is reserved for the process to exit by itself.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 
-/// How long before the deadline it accepts no more connections. While the balancer has no other
-/// entry it goes on sending callers to those that are stopping, and each of them needs a response.
+/// How long before the deadline it accepts no more connections. While the load balancer has no
+/// other entry it goes on sending callers to those that are stopping, and each of them needs a
+/// response.
 const STOP_ACCEPTING_BEFORE: Duration = Duration::from_millis(600);
 
 /// How often an entry that is stopping checks whether its connections have ended.
@@ -157,7 +158,7 @@
     Stop { drain_at: now + DRAIN_DELAY.min(grace / 2), deadline: now + grace }
 }
 
-/// Waits for the balancer to notice, then for the callers' connections to end.
+/// Waits for the load balancer to notice, then for the callers' connections to end.
 async fn drain(
     server: &CallerServer,
     close_idle: &CancellationToken,
--- a/crates/direct/src/probe.rs
+++ b/crates/direct/src/probe.rs
@@ -1,4 +1,4 @@
-//! Serves small pages to the balancer and to monitoring: readiness and metrics.
+//! Serves small pages to the load balancer and to monitoring: readiness and metrics.
 
 use bytes::Bytes;
 use http::{Request, Response, StatusCode};
@@ -15,7 +15,7 @@
 /// Returns the status and text of a page by its path.
 pub type Page = Arc<dyn Fn(&str) -> (StatusCode, String) + Send + Sync>;
 
-/// How long a connection may be idle: the balancer checks every second.
+/// How long a connection may be idle: the load balancer checks every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The pause after a connection could not be accepted.
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -78,8 +78,8 @@
 /// The schedule by which a process stops.
 #[derive(Debug, Clone, Copy)]
 pub struct Stop {
-    /// When the balancer should have stopped sending it connections. From then on it only begins
-    /// requests that are certain to end in time.
+    /// When the load balancer should have stopped sending it connections. From then on it only
+    /// begins requests that are certain to end in time.
     pub drain_at: Instant,
     /// When the process ends at the latest.
     pub deadline: Instant,
@@ -257,8 +257,8 @@
         (f64::from(self.entries()) / known).max(1.0)
     }
 
-    /// How long this entry waits before it retries a log that did not respond, while no other entry
-    /// has reached it either.
+    /// The delay before this entry retries a log that did not respond, while no other entry has
+    /// reached it either.
     ///
     /// While the log is unavailable, no entry can reach it, and one of them has to notice its
     /// recovery: all together retry as often as eight would without this delay. An entry that
