--- a/crates/direct/src/cluster/clock.rs
+++ b/crates/direct/src/cluster/clock.rs
@@ -1,4 +1,5 @@
-//! Clocks that the runtime doesn't have: one that counts suspended time, and the true time of day.
+//! Clocks that the runtime doesn't provide: one that counts suspended time, and the cluster's time
+//! of day.
 
 use policy::clock::{Offset, median};
 use rustix::time::{ClockId, clock_gettime};
@@ -6,54 +7,54 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, SystemTime};
 
-/// Time since the VM started, suspended time included: the runtime's clock stands still while a
-/// process or its VM is frozen, and a lease does not.
+/// Returns the time since the VM started, including suspended time: the runtime's clock stands
+/// still while the process or its VM is frozen, but a lease continues to run.
 pub fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
     Duration::new(seconds, u32::try_from(now.tv_nsec).unwrap_or_default())
 }
 
-/// This VM's time of day in microseconds since the start of 1970. It may jump.
+/// Returns this VM's time of day in microseconds since the start of 1970. It may jump.
 pub fn time_of_day() -> u64 {
     let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// For how long what another entry's clock showed is believed: an entry that is killed doesn't tell of
-/// its clock any more.
-const BELIEVED: Duration = Duration::from_secs(30);
+/// For how long the clock reading of another entry is valid: an entry that was killed sends no more
+/// of them.
+const READING_TTL: Duration = Duration::from_secs(30);
 
-/// The true time of day, as the clocks of most entries have it.
+/// The cluster's time of day: the median of the entries' clocks.
 #[derive(Debug, Default)]
-pub struct Clock {
-    others: Mutex<HashMap<u64, Seen>>,
+pub struct ClusterClock {
+    peers: Mutex<HashMap<u64, Reading>>,
 }
 
-/// How far another entry's clock is ahead of this VM's steady one.
+/// How far another entry's clock is ahead of this VM's time since boot.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Reading {
     offset: Offset,
-    at: Duration,
+    received_at: Duration,
 }
 
-impl Clock {
-    /// Takes in what another entry's clock shows; 0 from one that does not say.
-    pub fn hear(&self, entry: u64, micros: u64) {
+impl ClusterClock {
+    /// Records the clock reading of another entry; 0 if it sends none.
+    pub fn observe(&self, entry: u64, micros: u64) {
         if micros == 0 {
             return;
         }
-        let at = since_boot();
-        self.others().insert(entry, Seen { offset: ahead(micros, at), at });
+        let received_at = since_boot();
+        self.peers().insert(entry, Reading { offset: ahead(micros, received_at), received_at });
     }
 
-    /// The true time since the start of 1970.
+    /// Returns the cluster's time since the start of 1970.
     pub fn now(&self) -> Duration {
         let now = since_boot();
         let mut offsets = {
-            let mut others = self.others();
-            others.retain(|_, seen| now.saturating_sub(seen.at) < BELIEVED);
-            others.values().map(|seen| seen.offset).collect::<Vec<_>>()
+            let mut peers = self.peers();
+            peers.retain(|_, reading| now.saturating_sub(reading.received_at) < READING_TTL);
+            peers.values().map(|reading| reading.offset).collect::<Vec<_>>()
         };
         offsets.push(ahead(time_of_day(), now));
         let offset = median(&mut offsets).unwrap_or_default();
@@ -61,8 +62,8 @@
         Duration::from_micros(micros.saturating_add_signed(offset))
     }
 
-    fn others(&self) -> MutexGuard<'_, HashMap<u64, Seen>> {
-        self.others.lock().unwrap_or_else(PoisonError::into_inner)
+    fn peers(&self) -> MutexGuard<'_, HashMap<u64, Reading>> {
+        self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/direct/src/cluster/coordinator.rs
+++ b/crates/direct/src/cluster/coordinator.rs
@@ -1,4 +1,5 @@
-//! What this entry has granted to others as a coordinator, see [`crate::exchange::coordination`].
+//! Reservations that this entry has granted as a coordinator, see
+//! [`crate::exchange::coordination`].
 
 mod permits;
 
@@ -11,7 +12,7 @@
 
 pub use permits::Permits;
 
-/// What this entry has granted.
+/// Reservations and permits that this entry has granted.
 #[derive(Debug)]
 pub struct Coordinator {
     inner: Mutex<Inner>,
@@ -22,20 +23,22 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Prompts to be read, by engine.
-    engines: HashMap<Hash, Reservations>,
+    /// Tokens to prefill, by engine.
+    prefill: HashMap<Hash, Reservations>,
     /// Streams, by engine.
-    places: HashMap<Hash, Reservations>,
-    /// When each group was first asked for here.
-    since: HashMap<Hash, Instant>,
+    streams: HashMap<Hash, Reservations>,
+    /// When the first request for each group arrived.
+    first_requests: HashMap<Hash, Instant>,
 }
 
-/// For how long after the first question an entry also goes by what the others say of their work: it
-/// knows nothing yet of what another has granted, and a queue is read within this time.
-const NEW: Duration = Duration::from_millis(500);
+/// For how long after the first request for a group an entry also considers the work that its peers
+/// report: it doesn't know yet what another coordinator has granted, and within this time the
+/// engines prefill what was queued before.
+const WARM_UP: Duration = Duration::from_millis(500);
 
-/// Engines and groups that are remembered; those that are gone are forgotten with all others.
-const MAX_REMEMBERED: usize = 4_096;
+/// The maximum number of engines and of groups that are tracked. On overflow all are dropped, which
+/// removes those that no longer exist.
+const MAX_TRACKED: usize = 4_096;
 
 impl Default for Coordinator {
     fn default() -> Self {
@@ -45,56 +48,56 @@
 }
 
 impl Coordinator {
-    /// Tokens that wait to be read at an engine as far as this entry granted them.
+    /// Returns the queued prefill tokens that this entry granted at an engine.
     pub fn queued_tokens(&self, engine: Hash, now: Instant) -> u64 {
         let time = self.time(now);
         let mut inner = self.lock();
-        inner.engines.get_mut(&engine).map_or(0, |bookings| bookings.total(time))
+        inner.prefill.get_mut(&engine).map_or(0, |reservations| reservations.total(time))
     }
 
-    /// Whether this entry was first asked for a group only lately.
-    pub fn is_new(&self, group: Hash, now: Instant) -> bool {
+    /// Returns whether the first request for a group arrived only recently.
+    pub fn is_warming_up(&self, group: Hash, now: Instant) -> bool {
         let mut inner = self.lock();
-        if inner.since.len() >= MAX_REMEMBERED {
-            inner.since.clear();
+        if inner.first_requests.len() >= MAX_TRACKED {
+            inner.first_requests.clear();
         }
-        now.duration_since(*inner.since.entry(group).or_insert(now)) < NEW
+        now.duration_since(*inner.first_requests.entry(group).or_insert(now)) < WARM_UP
     }
 
-    /// Books a prompt at an engine.
-    pub fn book(&self, engine: Hash, booking: u64, tokens: u64, now: Instant) {
+    /// Reserves an engine for the prefill of a prompt.
+    pub fn reserve_prefill(&self, engine: Hash, reservation: u64, tokens: u64, now: Instant) {
         let time = self.time(now);
         let mut inner = self.lock();
-        if inner.engines.len() >= MAX_REMEMBERED {
-            inner.engines.clear();
+        if inner.prefill.len() >= MAX_TRACKED {
+            inner.prefill.clear();
         }
-        inner.engines.entry(engine).or_default().reserve(booking, tokens, time);
+        inner.prefill.entry(engine).or_default().reserve(reservation, tokens, time);
     }
 
-    /// Streams at an engine as far as this entry granted them.
+    /// Returns the streams that this entry granted at an engine.
     pub fn streams(&self, engine: Hash, now: Instant) -> u32 {
         let time = self.time(now);
         let mut inner = self.lock();
-        let streams = inner.places.get_mut(&engine).map_or(0, |places| places.total(time));
+        let streams = inner.streams.get_mut(&engine).map_or(0, |streams| streams.total(time));
         u32::try_from(streams).unwrap_or(u32::MAX)
     }
 
-    /// Books a place for a stream at an engine.
-    pub fn book_place(&self, engine: Hash, booking: u64, span: Duration, now: Instant) {
+    /// Reserves a slot at an engine for a stream, for at most `ttl`.
+    pub fn reserve_slot(&self, engine: Hash, reservation: u64, ttl: Duration, now: Instant) {
         let time = self.time(now);
         let mut inner = self.lock();
-        if inner.places.len() >= MAX_REMEMBERED {
-            inner.places.clear();
+        if inner.streams.len() >= MAX_TRACKED {
+            inner.streams.clear();
         }
-        inner.places.entry(engine).or_default().reserve_for(booking, 1, time, span);
+        inner.streams.entry(engine).or_default().reserve_for(reservation, 1, time, ttl);
     }
 
-    /// Ends a booking.
-    pub fn end(&self, engine: Hash, booking: u64) {
+    /// Releases a reservation.
+    pub fn release(&self, engine: Hash, reservation: u64) {
         let inner = &mut *self.lock();
-        for engines in [&mut inner.engines, &mut inner.places] {
-            if let Some(bookings) = engines.get_mut(&engine) {
-                bookings.release(booking);
+        for engines in [&mut inner.prefill, &mut inner.streams] {
+            if let Some(reservations) = engines.get_mut(&engine) {
+                reservations.release(reservation);
             }
         }
     }
--- a/crates/direct/src/cluster/groups.rs
+++ b/crates/direct/src/cluster/groups.rs
@@ -1,4 +1,4 @@
-//! The groups of a service's engines, and which entries coordinate them, as this entry sees it.
+//! The groups of a service's engines and their coordinators, as this entry computes them.
 
 use crate::config::route::ServiceName;
 use crate::targets::target::Target;
@@ -8,72 +8,73 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// An entry that lives.
+/// A live entry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
-    /// The hash of its name.
+    /// The hash of the entry's name.
     pub key: Hash,
-    /// Where it hears the other entries; none for this entry itself.
+    /// Where it receives datagrams of other entries; none for this entry itself.
     pub address: Option<SocketAddr>,
-    /// The rate of its VM's link in bytes a second.
-    pub link: f64,
+    /// The rate of its VM's link in bytes per second.
+    pub link_rate: f64,
 }
 
 /// Engines that are coordinated together.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// Its name.
+    /// The identity of the group.
     pub key: Hash,
-    /// Its engines.
+    /// The engines.
     pub engines: Vec<Arc<Target>>,
-    /// Who coordinates it: the first, unless it is silent.
+    /// The coordinator, followed by its standby, which is asked when the coordinator doesn't
+    /// respond.
     pub coordinators: Vec<Member>,
 }
 
 /// The groups of one service.
 pub type Groups = Arc<[Group]>;
 
-/// The groups of all services, computed when engines or entries change.
+/// The groups of all services, recomputed when engines or entries change.
 #[derive(Debug, Default)]
-pub struct Cache(Mutex<HashMap<ServiceName, Known>>);
+pub struct Cache(Mutex<HashMap<ServiceName, Computed>>);
 
 #[derive(Debug, Clone)]
-struct Known {
+struct Computed {
     engines: Arc<[Arc<Target>]>,
     members: Arc<[Member]>,
     groups: Groups,
 }
 
 impl Cache {
-    /// The groups of a service with these engines, coordinated by these entries.
+    /// Returns the groups of a service with these engines, coordinated by these entries.
     pub fn groups(
         &self,
         service: &ServiceName,
         engines: &Arc<[Arc<Target>]>,
         members: &Arc<[Member]>,
     ) -> Groups {
-        let mut map = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let known = map.get(service).filter(|known| {
-            Arc::ptr_eq(&known.engines, engines) && Arc::ptr_eq(&known.members, members)
+        let mut services = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let cached = services.get(service).filter(|cached| {
+            Arc::ptr_eq(&cached.engines, engines) && Arc::ptr_eq(&cached.members, members)
         });
-        if let Some(known) = known {
-            return known.groups.clone();
+        if let Some(cached) = cached {
+            return cached.groups.clone();
         }
         let groups = divide(engines, members);
         let (engines, members) = (engines.clone(), members.clone());
-        map.insert(service.clone(), Known { engines, members, groups: groups.clone() });
+        services.insert(service.clone(), Computed { engines, members, groups: groups.clone() });
         groups
     }
 }
 
-/// The group of a target.
+/// Returns the group that contains a target.
 pub fn group_of<'a>(groups: &'a [Group], target: &Target) -> Option<&'a Group> {
     groups.iter().find(|group| group.engines.iter().any(|other| other.key == target.key))
 }
 
 fn divide(engines: &[Arc<Target>], members: &[Member]) -> Groups {
     let keys = engines.iter().map(|engine| Engine { key: engine.key, domain: engine.domain_key });
-    let entries = members.iter().map(|member| Entry { key: member.key, weight: member.link });
+    let entries = members.iter().map(|member| Entry { key: member.key, weight: member.link_rate });
     let (keys, entries): (Vec<_>, Vec<_>) = (keys.collect(), entries.collect());
     let groups = groups::divide(&Settings::default(), &keys).into_iter().map(|group| Group {
         key: group.key,
--- a/crates/direct/src/cluster/peer_socket.rs
+++ b/crates/direct/src/cluster/peer_socket.rs
@@ -1,4 +1,4 @@
-//! The socket on which entries hear each other, and the questions that wait for an answer on it.
+//! The socket for datagrams between entries, and the requests that wait for a response on it.
 
 use crate::cluster::messages::{Envelope, Payload, Response};
 use policy::Hash;
@@ -13,82 +13,82 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The socket, once it is bound, and who waits for what.
+/// The socket, once it is bound, and the pending requests.
 #[derive(Debug)]
 pub struct PeerSocket {
     socket: OnceLock<Arc<UdpSocket>>,
-    waiting: Mutex<HashMap<ReservationId, oneshot::Sender<Response>>>,
-    /// Entries that did not answer lately, with the time until which they are not asked.
-    silent: Mutex<HashMap<Hash, Instant>>,
-    next: AtomicU64,
+    pending: Mutex<HashMap<ReservationId, oneshot::Sender<Response>>>,
+    /// Entries that did not respond, with the time until which they get no requests.
+    unresponsive: Mutex<HashMap<Hash, Instant>>,
+    next_id: AtomicU64,
 }
 
-/// A question that waits for its answer; dropped, it no longer does.
+/// A request that waits for its response, until it is dropped.
 #[derive(Debug)]
-pub struct Question<'a> {
-    post: &'a PeerSocket,
-    booking: ReservationId,
-    /// Resolves to the answer.
+pub struct PendingRequest<'a> {
+    socket: &'a PeerSocket,
+    id: ReservationId,
+    /// Resolves to the response.
     pub response: oneshot::Receiver<Response>,
 }
 
 impl PeerSocket {
-    /// Names of bookings count from `first`, which has to be another in each process.
+    /// Creates a socket whose ids count from `first`, which has to differ between processes.
     pub fn new(first: ReservationId) -> Self {
-        let (socket, waiting, silent) = (OnceLock::new(), Mutex::default(), Mutex::default());
-        Self { socket, waiting, silent, next: AtomicU64::new(first) }
+        let (socket, pending, unresponsive) = (OnceLock::new(), Mutex::default(), Mutex::default());
+        Self { socket, pending, unresponsive, next_id: AtomicU64::new(first) }
     }
 
-    /// Sends on this socket from now on.
+    /// Sets the bound socket, on which datagrams are sent from now on.
     pub fn open(&self, socket: Arc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
             log::warn!(target: "peers", "a second socket for datagrams is left alone");
         }
     }
 
-    /// A name for a booking.
+    /// Returns an id that no other request or process uses.
     pub fn unique_id(&self) -> ReservationId {
-        // 0 names none.
-        self.next.fetch_add(1, Ordering::Relaxed).max(1)
+        // 0 identifies no reservation.
+        self.next_id.fetch_add(1, Ordering::Relaxed).max(1)
     }
 
-    /// Waits for the answer to a question.
-    pub fn expect_response(&self, booking: ReservationId) -> Question<'_> {
-        let (sender, answer) = oneshot::channel();
-        self.waiting().insert(booking, sender);
-        Question { post: self, booking, response: answer }
+    /// Registers a request whose response will be awaited.
+    pub fn expect_response(&self, id: ReservationId) -> PendingRequest<'_> {
+        let (sender, response) = oneshot::channel();
+        self.pending().insert(id, sender);
+        PendingRequest { socket: self, id, response }
     }
 
-    /// Passes an answer to whoever waits for it; gives it back if nobody does any more.
-    pub fn deliver(&self, answer: Response) -> Result<(), Response> {
-        match self.waiting().remove(&answer.reservation) {
-            Some(sender) => sender.send(answer),
-            None => Err(answer),
+    /// Delivers a response to its pending request; returns it if there is none any more.
+    pub fn deliver(&self, response: Response) -> Result<(), Response> {
+        match self.pending().remove(&response.reservation) {
+            Some(sender) => sender.send(response),
+            None => Err(response),
         }
     }
 
-    /// Notes that an entry did not answer: it is not asked until then.
+    /// Records that an entry did not respond; it gets no requests until then.
     pub fn mark_unresponsive(&self, entry: Hash, until: Instant) {
-        self.silence().insert(entry, until);
+        self.unresponsive().insert(entry, until);
     }
 
-    /// Whether an entry did not answer lately.
+    /// Returns whether an entry recently did not respond.
     pub fn is_unresponsive(&self, entry: Hash, now: Instant) -> bool {
-        let mut silent = self.silence();
-        silent.retain(|_, until| now < *until);
-        silent.contains_key(&entry)
+        let mut unresponsive = self.unresponsive();
+        unresponsive.retain(|_, until| now < *until);
+        unresponsive.contains_key(&entry)
     }
 
-    fn silence(&self) -> MutexGuard<'_, HashMap<Hash, Instant>> {
-        self.silent.lock().unwrap_or_else(PoisonError::into_inner)
+    fn unresponsive(&self) -> MutexGuard<'_, HashMap<Hash, Instant>> {
+        self.unresponsive.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends a datagram. It may be lost, as any.
-    pub fn send(&self, word: Payload, to: SocketAddr) {
+    /// Sends a message. Like any datagram, it may be lost.
+    pub fn send(&self, payload: Payload, to: SocketAddr) {
         let Some(socket) = self.socket.get() else { return };
-        let bytes = Envelope { payload: Some(word) }.encode_to_vec();
-        let failed = move |error: std::io::Error| {
-            log::debug!(target: "peers", address:% = to, error:% = error; "not sent");
+        let bytes = Envelope { payload: Some(payload) }.encode_to_vec();
+        let log_failure = move |error: std::io::Error| {
+            log::debug!(target: "peers", address:% = to, error:% = error; "datagram not sent");
         };
         match socket.try_send_to(&bytes, to) {
             Ok(_) => {}
@@ -96,21 +96,21 @@
                 let socket = socket.clone();
                 tokio::spawn(async move {
                     if let Err(error) = socket.send_to(&bytes, to).await {
-                        failed(error);
+                        log_failure(error);
                     }
                 });
             }
-            Err(error) => failed(error),
+            Err(error) => log_failure(error),
         }
     }
 
-    fn waiting(&self) -> MutexGuard<'_, HashMap<ReservationId, oneshot::Sender<Response>>> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    fn pending(&self) -> MutexGuard<'_, HashMap<ReservationId, oneshot::Sender<Response>>> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingRequest<'_> {
     fn drop(&mut self) {
-        self.post.waiting().remove(&self.booking);
+        self.socket.pending().remove(&self.id);
     }
 }
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -55,7 +55,7 @@
     }
 
     /// Whether another entry was heard lately.
-    pub fn hears(&self, entry: Hash) -> bool {
+    pub fn is_reachable(&self, entry: Hash) -> bool {
         self.lock().heard.contains_key(&entry)
     }
 
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests that were running when a target crashed.
+//! Requests that are suspected of crashing targets, because they were running when a target
+//! crashed.
 
 use crate::buffered_request::BufferedRequest;
 use crate::config::customers::Customer;
@@ -7,66 +8,68 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Identifies a request by what its caller sends, however often it is sent.
+/// Identifies a request by its content, so that retries of it are recognized.
 pub type Fingerprint = u64;
 
-/// Crashes after which a request is refused. A request that merely ran beside the guilty one is
-/// hit as often only if it meets it on three targets.
-const CRASHES: u32 = 3;
+/// The number of crashes from which on a request is blocked. A request that merely ran beside the
+/// one that crashes targets reaches it only if both meet on three targets.
+const BLOCKING_CRASHES: u32 = 3;
 
-/// After this time without another crash a request is no longer suspected: requests of plain
-/// services look alike, and one that is refused could never clear itself.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+/// After this time without another crash a request is no longer suspected. Requests of plain
+/// services often have the same content, and a blocked one never runs, so it could not be cleared
+/// otherwise.
+const SUSPICION_TTL: Duration = Duration::from_secs(60);
 
-/// Requests that are remembered.
+/// The number of tracked requests from which on expired ones are removed.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Crashes by request.
+/// The suspected requests with their crashes.
 #[derive(Debug, Default)]
 pub struct Suspects(Mutex<State>);
 
 #[derive(Debug, Default)]
 struct State {
     crashes: HashMap<Fingerprint, Crashes>,
-    /// Crashes seen here that the other entries were not told of yet.
-    news: Vec<Fingerprint>,
+    /// Crashes seen by this entry that have not been published yet.
+    unpublished: Vec<Fingerprint>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Crashes {
     count: u32,
-    last: Instant,
+    last_at: Instant,
 }
 
 impl Suspects {
-    /// Notes that a target crashed while it ran the request; returns the crashes so far.
+    /// Records that a target crashed while it ran the request; returns the number of crashes so
+    /// far.
     pub fn record_crash(&self, request: Fingerprint) -> u32 {
         let mut state = self.lock();
-        state.news.push(request);
+        state.unpublished.push(request);
         state.count(request)
     }
 
-    /// Takes in crashes that another entry saw.
-    pub fn hear(&self, requests: &[Fingerprint]) {
+    /// Records crashes that another entry has seen.
+    pub fn observe_crashes(&self, requests: &[Fingerprint]) {
         let mut state = self.lock();
         for request in requests {
             state.count(*request);
         }
     }
 
-    /// Whether the request is refused.
+    /// Returns whether the request is refused.
     pub fn is_blocked(&self, request: Fingerprint) -> bool {
         let state = self.lock();
         let crashes = state.crashes.get(&request);
-        crashes.is_some_and(|c| c.count >= CRASHES && c.last.elapsed() < FORGOTTEN)
+        crashes.is_some_and(|c| c.count >= BLOCKING_CRASHES && c.last_at.elapsed() < SUSPICION_TTL)
     }
 
-    /// Takes what the other entries were not told of yet, the newest `most`.
-    pub fn take_news(&self, most: usize) -> Vec<Fingerprint> {
-        let mut news = std::mem::take(&mut self.lock().news);
-        let older = news.len().saturating_sub(most);
-        news.drain(..older);
-        news
+    /// Takes the crashes that have not been published yet, but only the newest `max`.
+    pub fn take_unpublished(&self, max: usize) -> Vec<Fingerprint> {
+        let mut unpublished = std::mem::take(&mut self.lock().unpublished);
+        let excess = unpublished.len().saturating_sub(max);
+        unpublished.drain(..excess);
+        unpublished
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -78,20 +81,20 @@
     fn count(&mut self, request: Fingerprint) -> u32 {
         let now = Instant::now();
         if self.crashes.len() >= MAX_SUSPECTS {
-            self.crashes.retain(|_, crashes| now.duration_since(crashes.last) < FORGOTTEN);
+            self.crashes.retain(|_, crashes| now.duration_since(crashes.last_at) < SUSPICION_TTL);
         }
-        let crashes = self.crashes.entry(request).or_insert(Crashes { count: 0, last: now });
-        if now.duration_since(crashes.last) >= FORGOTTEN {
+        let crashes = self.crashes.entry(request).or_insert(Crashes { count: 0, last_at: now });
+        if now.duration_since(crashes.last_at) >= SUSPICION_TTL {
             crashes.count = 0;
         }
         crashes.count += 1;
-        crashes.last = now;
+        crashes.last_at = now;
         crashes.count
     }
 }
 
-/// The fingerprint of a request: its path, its body and whose it is, so that no customer can have
-/// another's requests refused.
+/// Returns the fingerprint of a request, which covers its path, its body and its customer, so that
+/// no customer can get another one's requests blocked.
 pub fn fingerprint(content: &BufferedRequest, customer: Option<&Arc<Customer>>) -> Fingerprint {
     let path = xxhash_rust::xxh3::xxh3_64(content.path.to_string().as_bytes());
     let request = policy::mix(path, xxhash_rust::xxh3::xxh3_64(&content.body));
--- a/crates/direct/src/exchange/coordination.rs
+++ b/crates/direct/src/exchange/coordination.rs
@@ -1,13 +1,14 @@
-//! Decides for the other entries which engine of a group reads a prompt or writes an output, see
+//! Decides for all entries which engine of a group prefills a prompt or decodes a stream, see
 //! [`policy::groups`].
 //!
-//! What it grants it books, so its view of an engine's queue is as old as the way to the entry that
-//! was granted. It answers whoever asks, whether or not it holds itself responsible: two that both
-//! coordinate a group for a moment make a queue longer than meant, and break nothing.
+//! A coordinator records a reservation for each grant, so its view of an engine's queue lags only
+//! by the network delay to the requester. It responds to every entry, whether or not it considers
+//! itself the coordinator of the group: two entries that both coordinate a group for a moment make
+//! a queue longer than intended, but break nothing.
 
+mod decode;
 mod permits;
-mod reading;
-mod writing;
+mod prefill;
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
@@ -19,18 +20,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-pub use permits::hear as observe_limit;
+pub use permits::observe_limit;
 
-/// An engine that has work counts as away when it has said nothing for so many times what a first
-/// answer may take.
-const SILENCE: u32 = 3;
+/// An engine that has work counts as unavailable after a silence of this many times the objective
+/// for the first token.
+const SILENCE_FACTOR: u32 = 3;
 
-/// Answers a question; `None` if it is none, or its group or service is not known here.
-pub fn respond(shared: &Shared, question: &Payload) -> Option<Response> {
-    match question {
-        Payload::PrefillRequest(ask) => reading::decide(shared, ask),
-        Payload::DecodeRequest(ask) => writing::decide(shared, ask),
-        Payload::PermitRequest(ask) => Some(permits::decide(shared, ask)),
+/// Responds to a request; `None` if the message is no request, or its group or service is unknown
+/// here.
+pub fn respond(shared: &Shared, message: &Payload) -> Option<Response> {
+    match message {
+        Payload::PrefillRequest(request) => prefill::decide(shared, request),
+        Payload::DecodeRequest(request) => decode::decide(shared, request),
+        Payload::PermitRequest(request) => Some(permits::decide(shared, request)),
         Payload::Response(_)
         | Payload::Report(_)
         | Payload::News(_)
@@ -47,25 +49,28 @@
     services.find(|service| short_hash(policy::hash(&service.name)) == key).cloned()
 }
 
-/// Takes in what became of a prompt.
+/// Applies the reported outcome of a prompt.
 pub fn apply_report(shared: &Shared, report: &Report) {
     let engines = shared.fleet().engines();
     let engine = engines.iter().find(|engine| short_hash(engine.key) == report.engine);
-    // One that is gone, or that is not yet listed here.
+    // The engine is gone, or not yet listed here.
     let Some(engine) = engine else { return };
-    shared.coordinator.end(engine.key, report.reservation);
-    if let Some(kept) = &report.cached {
-        engine.engine.record_cached(&kept.rows(), room(shared, engine));
+    shared.coordinator.release(engine.key, report.reservation);
+    if let Some(parts) = &report.cached {
+        engine.engine.record_cached(&parts.rows(), cache_capacity(shared, engine));
     }
-    if let Some(moved) = &report.transfer {
-        let (now, took) = (Instant::now(), Duration::from_micros(moved.duration_us));
-        engine.record_transfer(TransferDirection::In, took, now);
-        if let Some(from) = engines.iter().find(|engine| short_hash(engine.key) == moved.source) {
-            from.record_transfer(TransferDirection::Out, took, now);
+    if let Some(transfer) = &report.transfer {
+        let (now, duration) = (Instant::now(), Duration::from_micros(transfer.duration_us));
+        engine.record_transfer(TransferDirection::In, duration, now);
+        if let Some(source) =
+            engines.iter().find(|engine| short_hash(engine.key) == transfer.source)
+        {
+            source.record_transfer(TransferDirection::Out, duration, now);
         }
     }
     if report.failed && !engine.is_unavailable(Duration::MAX, Instant::now()) {
-        // One refused connection seen here keeps all entries away from an engine that crashed.
+        // If the engine crashed, a refused connection at its coordinator keeps all entries away
+        // from it.
         let engine = engine.clone();
         tokio::spawn(async move {
             engine.check_listening().await;
@@ -73,17 +78,18 @@
     }
 }
 
-/// How many tokens this entry may believe an engine to keep. Of one that others coordinate it hears
-/// only about prompts that ask its own groups first, about as large a part as these are of all groups:
-/// what pushes the rest out it does not hear.
-fn room(shared: &Shared, engine: &Target) -> u64 {
-    let memory = shared.kv_capacity(&engine.service);
+/// Returns how many tokens this entry may assume to be cached by an engine. About an engine that
+/// other entries coordinate, it receives reports only of prompts that are first requested from its
+/// own groups. Their share is about that of its groups among all, and evictions by other prompts go
+/// unreported.
+fn cache_capacity(shared: &Shared, engine: &Target) -> u64 {
+    let capacity = shared.kv_capacity(&engine.service);
     let groups = shared.groups(&engine.service);
-    let ours = |group: &&Group| group.coordinators.iter().any(|member| member.address.is_none());
-    let listed = |group: &Group| group.engines.iter().any(|other| other.key == engine.key);
-    if groups.iter().filter(ours).any(listed) {
-        return memory;
+    let is_own = |group: &&Group| group.coordinators.iter().any(|member| member.address.is_none());
+    let contains = |group: &Group| group.engines.iter().any(|other| other.key == engine.key);
+    if groups.iter().filter(is_own).any(contains) {
+        return capacity;
     }
     let count = |number: usize| u64::try_from(number).unwrap_or(u64::MAX);
-    memory * count(groups.iter().filter(ours).count()) / count(groups.len()).max(1)
+    capacity * count(groups.iter().filter(is_own).count()) / count(groups.len()).max(1)
 }
--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -108,7 +108,7 @@
 pub async fn publish_suspects(shared: Arc<Shared>, log: Arc<dyn KeyedLog>) {
     loop {
         tokio::time::sleep(SUSPICIONS).await;
-        let requests = shared.suspects.take_news(MAX_SUSPICIONS);
+        let requests = shared.suspects.take_unpublished(MAX_SUSPICIONS);
         if !requests.is_empty() {
             let entry = shared.settings.name.to_string();
             write(&*log, Kind::SuspectedRequests(SuspectedRequests { entry, requests })).await;
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -249,7 +249,7 @@
             }
             Some(Kind::SuspectedRequests(SuspectedRequests { entry, requests })) => {
                 if entry != shared.settings.name {
-                    shared.suspects.hear(&requests);
+                    shared.suspects.observe_crashes(&requests);
                 }
                 Told::News
             }
@@ -317,8 +317,8 @@
     let others = others.map(|(name, heard)| Member {
         key: policy::hash(name),
         address: Some(heard.address),
-        link: heard.link,
+        link_rate: heard.link,
     });
     let (key, link) = (shared.key(), shared.settings.link.bytes_per_second);
-    others.chain([Member { key, address: None, link }]).collect()
+    others.chain([Member { key, address: None, link_rate: link }]).collect()
 }
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -135,7 +135,7 @@
 fn take_state(shared: &Shared, mut state: EntryState) {
     let (entry, reads, now) = (state.entry, std::mem::take(&mut state.reads), Instant::now());
     let standings = std::mem::take(&mut state.standings);
-    shared.usage.clock.hear(entry, state.clock);
+    shared.usage.clock.observe(entry, state.clock);
     if shared.peers.observe(state, &shared.loads, now) {
         take_reads(shared, entry, &reads, now);
         take_standings(shared, &standings, now);
@@ -186,7 +186,9 @@
         Payload::News(news) => broadcast::take(shared, news),
         Payload::Lack(lack) => broadcast::answer(shared, lack, from),
         Payload::UsageCounts(used) => shared.usage.observe(used),
-        Payload::BillingProgress(billed) => shared.usage.billed(billed, clock::since_boot()),
+        Payload::BillingProgress(billed) => {
+            shared.usage.observe_billing(billed, clock::since_boot())
+        }
     }
 }
 
