--- a/crates/direct/src/cluster/entry_state.rs
+++ b/crates/direct/src/cluster/entry_state.rs
@@ -1,120 +1,123 @@
-//! The datagrams that entries send each other, see [`crate::cluster::peers`].
+//! The state that each entry sends to the others by datagram, see [`crate::cluster::peers`].
 
 use policy::Hash;
 use prost::Message;
 
-/// The unit in which tokens are told: less than a third of a millisecond of reading.
-pub const UNIT: u64 = 64;
+/// Tokens are counted in units of this many: an engine prefills a unit in less than a third of a
+/// millisecond.
+pub const TOKENS_PER_UNIT: u64 = 64;
 
-/// An entry's state.
+/// The state of an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct EntryState {
-    /// The hash of its name.
+    /// The hash of the entry's name.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
-    /// Tells one run of its process from another.
+    /// Distinguishes the incarnations of the entry's process.
     #[prost(fixed64, tag = "2")]
-    pub run: u64,
-    /// Counts its datagrams.
+    pub incarnation: u64,
+    /// The sequence number of the datagram within the incarnation.
     #[prost(uint64, tag = "3")]
     pub sequence: u64,
-    /// Its work, by engine.
+    /// The entry's work, by engine.
     #[prost(message, optional, tag = "4")]
     pub work: Option<Work>,
-    /// How far it has read the log.
+    /// How far the entry has read the log.
     #[prost(message, repeated, tag = "6")]
-    pub reads: Vec<Read>,
+    pub reads: Vec<StreamRead>,
     /// The load of each service, see [`crate::cluster::loads`].
     #[prost(message, repeated, tag = "7")]
     pub loads: Vec<ServiceLoad>,
-    /// What its VM's clock shows, in microseconds since the start of 1970.
+    /// The clock of the entry's VM, in microseconds since the start of 1970.
     #[prost(fixed64, tag = "8")]
     pub clock: u64,
-    /// Targets that leave or want no requests now, by their own answers.
+    /// Targets that are leaving or paused, by their own responses.
     #[prost(message, repeated, tag = "9")]
-    pub standings: Vec<TargetStanding>,
+    pub unavailable: Vec<UnavailableTarget>,
 }
 
-/// What one life of a target said of itself.
+/// A target that is leaving or paused, by its own response.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct TargetStanding {
-    /// The key of the life, whole: whoever is taken for one that leaves gets no work any more.
+pub struct UnavailableTarget {
+    /// The key of the target's incarnation. It is the whole hash, because a target that is mistaken
+    /// for a leaving one gets no more work.
     #[prost(fixed64, tag = "1")]
     pub target: u64,
-    /// Whether it leaves.
+    /// Whether the target is leaving.
     #[prost(bool, tag = "2")]
-    pub leaves: bool,
-    /// For how long it wants no requests from the entry that tells, in milliseconds.
+    pub leaving: bool,
+    /// For how long the target accepts no requests from the sending entry, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub pause_ms: u32,
 }
 
-/// What was asked of an entry for one service since it started, and what it has learnt.
+/// The demand that an entry has seen for one service since it started, and what it has measured.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct ServiceLoad {
     /// The service, by the lower half of the hash of its name.
     #[prost(fixed32, tag = "1")]
     pub service: u32,
-    /// Tokens to be read: of prompts, what no engine kept.
+    /// Tokens to prefill: those tokens of prompts that no engine had cached.
     #[prost(uint64, tag = "2")]
     pub requested_tokens: u64,
-    /// Tokens that an engine reads in a second; 0 if it is not known.
+    /// Tokens that an engine prefills per second; 0 if unknown.
     #[prost(double, tag = "3")]
-    pub rate: f64,
-    /// Seconds that a stream takes for a token; 0 if it is not known.
+    pub prefill_rate: f64,
+    /// Seconds per token of a stream; 0 if unknown.
     #[prost(double, tag = "4")]
-    pub step: f64,
+    pub token_time: f64,
 }
 
-/// What an entry knows of one stream of the log, see [`tail::Seen`].
+/// How far an entry has read one stream of the log, see [`crate::cluster::tail::ReadStatus`].
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct Read {
-    /// The stream, as its place in [`tail::TOPICS`].
+pub struct StreamRead {
+    /// The stream, as its index in [`crate::cluster::tail::TOPICS`].
     #[prost(uint32, tag = "1")]
     pub topic: u32,
     /// The offset after the last record that changed something.
     #[prost(uint64, tag = "2")]
-    pub news: u64,
-    /// How long ago it was last read, in milliseconds.
+    pub change_end: u64,
+    /// How long ago the stream was last read, in milliseconds.
     #[prost(uint32, tag = "3")]
     pub age_ms: u32,
 }
 
-/// The work of an entry at engines, in columns of equal length: seven bytes an engine.
+/// The work of an entry at engines, as columns of equal length: seven bytes per engine.
 #[derive(Clone, PartialEq, Message)]
 pub struct Work {
     /// The engines, each by the lower half of the hash of its id.
     #[prost(fixed32, repeated, tag = "1")]
     pub engines: Vec<u32>,
-    /// Tokens to be read there, in units of [`UNIT`].
+    /// Tokens to prefill there, in units of [`TOKENS_PER_UNIT`].
     #[prost(uint32, repeated, tag = "2")]
-    pub reading: Vec<u32>,
+    pub prefill_units: Vec<u32>,
     /// Streams there.
     #[prost(uint32, repeated, tag = "3")]
     pub streams: Vec<u32>,
 }
 
-/// The work of the other entries at one engine.
+/// The work of other entries at one engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Others {
-    /// Tokens to be read.
+pub struct PeerLoad {
+    /// Tokens to prefill.
     pub prefill_tokens: u64,
     /// Streams.
     pub streams: u32,
 }
 
 impl Work {
-    /// The rows; those of a datagram with columns of different lengths end with the shortest.
-    pub fn rows(self) -> Vec<(u32, Others)> {
-        let columns = self.engines.into_iter().zip(self.reading).zip(self.streams);
-        let rows = columns.map(|((engine, reading), streams)| {
-            (engine, Others { prefill_tokens: u64::from(reading) * UNIT, streams })
+    /// Decodes the load of each engine. Columns of different lengths are cut to the shortest.
+    pub fn rows(self) -> Vec<(u32, PeerLoad)> {
+        let columns = self.engines.into_iter().zip(self.prefill_units).zip(self.streams);
+        let rows = columns.map(|((engine, units), streams)| {
+            (engine, PeerLoad { prefill_tokens: u64::from(units) * TOKENS_PER_UNIT, streams })
         });
         rows.collect()
     }
 }
 
-/// The name of an engine in datagrams: of 700 engines two share one with a chance of 0.006%.
+/// Shortens a hash for datagrams. Among 700 engines, two share a short hash with a probability of
+/// 0.006%.
 pub fn short_hash(engine: Hash) -> u32 {
     // Casting to a smaller integer keeps the lower half.
     #[expect(clippy::cast_possible_truncation, reason = "half of a hash is a hash")]
--- a/crates/direct/src/cluster/loads.rs
+++ b/crates/direct/src/cluster/loads.rs
@@ -1,5 +1,5 @@
-//! What callers ask of the engines of each service, and what engines do: counted and learnt here,
-//! and told among the entries, so that each of them can plan for all.
+//! The demand for the engines of each service and the measured speed of engines. Entries exchange
+//! both, so that each of them can plan for all.
 
 use crate::cluster::entry_state::{self, ServiceLoad};
 use policy::demand::{EngineProfile, TokenTime};
@@ -8,89 +8,97 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The loads of all services that have engines.
+/// The loads of all services with engines.
 #[derive(Debug, Default)]
 pub struct Loads(Mutex<HashMap<u32, Load>>);
 
 /// The load of one service.
 #[derive(Debug, Default)]
 struct Load {
-    /// Tokens to be read that were asked of this entry.
-    own: u64,
-    /// The same of the others, since this entry has heard of them.
-    others: u64,
-    rate: Option<PrefillRate>,
-    step: TokenTime,
-    /// Seconds for a token as another entry has learnt it.
-    told: Option<f64>,
+    /// Tokens to prefill that this entry's callers have requested.
+    own_tokens: u64,
+    /// The same for the other entries, since this entry first received their state.
+    peer_tokens: u64,
+    prefill_rate: Option<PrefillRate>,
+    token_time: TokenTime,
+    /// Seconds per token as a peer has measured it.
+    peer_token_time: Option<f64>,
 }
 
 impl Loads {
-    /// Counts tokens that a caller asks to be read, at its first try.
+    /// Counts the tokens to prefill of a caller's request, at its first attempt.
     pub fn record_request(&self, service: &str, tokens: u64) {
-        self.lock().entry(key(service)).or_default().own += tokens;
+        self.lock().entry(key(service)).or_default().own_tokens += tokens;
     }
 
-    /// Takes in how long an engine took to read a prompt and what waited before it; engines are
-    /// believed to read `assumed` tokens a second at first.
-    pub fn record_prefill(&self, service: &str, assumed: f64, tokens: u64, took: Duration) {
+    /// Records how long an engine took to prefill a prompt and the tokens queued before it. Until a
+    /// rate is known, `default_rate` tokens per second are assumed.
+    pub fn record_prefill(
+        &self,
+        service: &str,
+        default_rate: f64,
+        tokens: u64,
+        duration: Duration,
+    ) {
         let mut loads = self.lock();
         let load = loads.entry(key(service)).or_default();
-        load.rate.get_or_insert_with(|| PrefillRate::new(assumed)).sample(tokens, took);
+        load.prefill_rate
+            .get_or_insert_with(|| PrefillRate::new(default_rate))
+            .sample(tokens, duration);
     }
 
-    /// Takes in that `tokens` tokens of a stream took this long.
-    pub fn record_decode(&self, service: &str, tokens: u32, took: Duration) {
-        self.lock().entry(key(service)).or_default().step.sample(tokens, took);
+    /// Records how long `tokens` tokens of a stream took.
+    pub fn record_decode(&self, service: &str, tokens: u32, duration: Duration) {
+        self.lock().entry(key(service)).or_default().token_time.sample(tokens, duration);
     }
 
-    /// Tokens that an engine reads in a second, once anything is known.
+    /// Returns the tokens that an engine prefills per second, if any estimate is known.
     pub fn prefill_rate(&self, service: &str) -> Option<f64> {
-        self.lock().get(&key(service)).and_then(|load| load.rate).map(PrefillRate::get)
+        self.lock().get(&key(service)).and_then(|load| load.prefill_rate).map(PrefillRate::get)
     }
 
-    /// What one engine does that writes `places` streams at once, once it is known.
-    pub fn engine_profile(&self, service: &str, places: u32) -> Option<EngineProfile> {
+    /// Returns the profile of an engine that decodes up to `max_streams` streams, once it is known.
+    pub fn engine_profile(&self, service: &str, max_streams: u32) -> Option<EngineProfile> {
         let loads = self.lock();
         let load = loads.get(&key(service))?;
-        let reading = load.rate.filter(|rate| rate.is_learned())?.get();
-        let step = load.step.get().or(load.told)?;
-        Some(EngineProfile { prefill_rate: reading, token_time: step, max_streams: places })
+        let prefill_rate = load.prefill_rate.filter(|rate| rate.is_learned())?.get();
+        let token_time = load.token_time.get().or(load.peer_token_time)?;
+        Some(EngineProfile { prefill_rate, token_time, max_streams })
     }
 
-    /// Tokens to be read that were asked of all entries so far.
+    /// Returns the tokens to prefill that all entries' callers have requested so far.
     pub fn requested_tokens(&self, service: &str) -> u64 {
-        self.lock().get(&key(service)).map_or(0, |load| load.own + load.others)
+        self.lock().get(&key(service)).map_or(0, |load| load.own_tokens + load.peer_tokens)
     }
 
-    /// What the other entries should hear.
+    /// Returns the loads that this entry publishes.
     pub fn snapshot(&self) -> Vec<ServiceLoad> {
         let loads = self.lock();
         let rows = loads.iter().map(|(service, load)| {
-            let known = load.rate.filter(|rate| rate.is_learned());
+            let rate = load.prefill_rate.filter(|rate| rate.is_learned());
             ServiceLoad {
                 service: *service,
-                requested_tokens: load.own,
-                rate: known.map_or(0.0, PrefillRate::get),
-                step: load.step.get().unwrap_or_default(),
+                requested_tokens: load.own_tokens,
+                prefill_rate: rate.map_or(0.0, PrefillRate::get),
+                token_time: load.token_time.get().unwrap_or_default(),
             }
         });
         rows.collect()
     }
 
-    /// Takes in what another entry tells; `before` is what the same run of it told last.
-    pub fn observe(&self, before: Option<&ServiceLoad>, told: &ServiceLoad) {
+    /// Applies the load that a peer reports; `previous` is the last one of the same incarnation.
+    pub fn observe(&self, previous: Option<&ServiceLoad>, current: &ServiceLoad) {
         let mut loads = self.lock();
-        let load = loads.entry(told.service).or_default();
-        if let Some(before) = before {
-            load.others += told.requested_tokens.saturating_sub(before.requested_tokens);
+        let load = loads.entry(current.service).or_default();
+        if let Some(previous) = previous {
+            load.peer_tokens += current.requested_tokens.saturating_sub(previous.requested_tokens);
         }
-        if told.step > 0.0 {
-            load.told = Some(told.step);
+        if current.token_time > 0.0 {
+            load.peer_token_time = Some(current.token_time);
         }
-        // One that has not learnt it takes over what another has; later each learns by itself.
-        if told.rate > 0.0 && !load.rate.is_some_and(PrefillRate::is_learned) {
-            load.rate = Some(PrefillRate::learned(told.rate));
+        // Without measurements of its own, an entry starts with a peer's estimate.
+        if current.prefill_rate > 0.0 && !load.prefill_rate.is_some_and(PrefillRate::is_learned) {
+            load.prefill_rate = Some(PrefillRate::learned(current.prefill_rate));
         }
     }
 
--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -1,9 +1,10 @@
-//! The datagrams by which an entry asks another to have a prompt read, see [`crate::request::prefill_placement`] and
-//! [`crate::cluster::coordinator`], and by which it passes on what it has read in the log.
+//! The datagrams in which entries request engines and permits from coordinators, see
+//! [`crate::request::prefill_placement`] and [`crate::cluster::coordinator`], forward what they
+//! have read in the log, and exchange usage counts.
 //!
-//! They share a socket with [`crate::cluster::entry_state::EntryState`], whose fields have lower tags: each reader
-//! leaves the other's fields alone. Engines and services are named by the lower half of their hashes;
-//! 0 names none.
+//! They share a socket with [`crate::cluster::entry_state::EntryState`], whose fields have lower
+//! tags: each decoder ignores the fields of the other type. Engines, targets and services are
+//! identified by the lower half of their hashes; 0 identifies none.
 
 use crate::codec::Part;
 use policy::pacing;
@@ -13,86 +14,87 @@
 /// One datagram.
 #[derive(Clone, PartialEq, Message)]
 pub struct Envelope {
-    /// What it says.
+    /// The message; none if the datagram is of another type or from a newer version.
     #[prost(oneof = "Payload", tags = "16, 17, 18, 19, 20, 21, 22, 23, 24, 25")]
     pub payload: Option<Payload>,
 }
 
-/// What an entry says about a prompt, or about the log.
+/// The messages between entries.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Payload {
-    /// It asks for an engine that reads one.
+    /// Requests an engine that prefills a prompt.
     #[prost(message, tag = "16")]
     PrefillRequest(PrefillRequest),
-    /// It answers that.
+    /// Responds to a request for an engine or a permit.
     #[prost(message, tag = "17")]
     Response(Response),
-    /// It tells what became of one.
+    /// Reports the outcome of a prompt.
     #[prost(message, tag = "18")]
     Report(Report),
-    /// It passes on what it has read in the log, see [`crate::exchange::broadcast`].
+    /// Forwards records that were read in the log, see [`crate::exchange::broadcast`].
     #[prost(message, tag = "19")]
-    News(News),
-    /// It asks for an engine that writes an output.
+    LogRecords(LogRecords),
+    /// Requests an engine that decodes a stream.
     #[prost(message, tag = "20")]
     DecodeRequest(DecodeRequest),
-    /// It can't read the log and asks for the configuration, see [`crate::exchange::broadcast`].
+    /// Requests the configuration for an entry that can't read the log, see
+    /// [`crate::exchange::broadcast`].
     #[prost(message, tag = "21")]
-    Lack(Lack),
-    /// It tells how far it has counted what customers used, see [`crate::cluster::usage`].
+    ConfigRequest(ConfigRequest),
+    /// Publishes usage counts of customers, see [`crate::cluster::usage`].
     #[prost(message, tag = "22")]
     UsageCounts(UsageCounts),
-    /// It has written a bill to the log, see [`crate::duty::billing`].
+    /// Announces that a bill was written to the log, see [`crate::duty::billing`].
     #[prost(message, tag = "23")]
     BillingProgress(BillingProgress),
-    /// It asks for a permit to send to a target that named a limit, see [`crate::request::permits`].
+    /// Requests a permit to send to a target that named a limit, see [`crate::request::permits`].
     #[prost(message, tag = "24")]
     PermitRequest(PermitRequest),
-    /// It tells which limit a target names.
+    /// Publishes the limit that a target named.
     #[prost(message, tag = "25")]
     TargetLimit(TargetLimit),
 }
 
-/// A question for the configuration.
+/// A request for the configuration.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Lack {
-    /// The offset up to which it is known.
+pub struct ConfigRequest {
+    /// The offset up to which the sender has read the stream of the configuration.
     #[prost(uint64, tag = "1")]
     pub next: u64,
 }
 
-/// How far one life of an entry has counted in one window.
+/// What one incarnation of an entry has counted in one window.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct UsageCounts {
-    /// The life.
+    /// The incarnation.
     #[prost(fixed64, tag = "1")]
     pub incarnation: u64,
     /// The window.
     #[prost(uint64, tag = "2")]
     pub window: u64,
-    /// Customers, and in the other column how many requests of each have begun to run.
+    /// Customers, a column of the same length as `counts`.
     #[prost(string, repeated, tag = "3")]
     pub customers: Vec<String>,
-    /// See `customers`.
+    /// How many requests of each customer have begun to run.
     #[prost(uint64, repeated, tag = "4")]
     pub counts: Vec<u64>,
 }
 
-/// A record with bills that was written.
+/// A record with bills that was written to the log.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct BillingProgress {
-    /// The end of the stream after it.
+    /// The end of the stream after the record.
     #[prost(uint64, tag = "1")]
     pub stream_end: u64,
-    /// The window after the last of it.
+    /// The window after the last one in the record.
     #[prost(uint64, tag = "2")]
     pub next_window: u64,
 }
 
-/// A question for an engine of one group that reads a prompt.
+/// A request for an engine of one group that prefills a prompt.
 #[derive(Clone, PartialEq, Message)]
 pub struct PrefillRequest {
-    /// The name that its booking will have.
+    /// The id that the reservation will have.
     #[prost(fixed64, tag = "1")]
     pub reservation: ReservationId,
     /// The group.
@@ -101,39 +103,39 @@
     /// The service.
     #[prost(fixed32, tag = "3")]
     pub service: u32,
-    /// The hash of the prompt's longest shared start.
+    /// The hash of the prompt's longest shared prefix.
     #[prost(fixed64, tag = "4")]
     pub prefix_hash: u64,
-    /// All tokens of the prompt.
+    /// The length of the whole prompt in tokens.
     #[prost(uint32, tag = "5")]
     pub tokens: u32,
-    /// Within which time its first token is wanted, in milliseconds.
+    /// The objective for the time to the first token, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub objective_ms: u32,
-    /// Whether that time has passed already.
+    /// Whether the objective has been missed already.
     #[prost(bool, tag = "7")]
     pub late: bool,
-    /// Its parts.
+    /// The parts of the prompt.
     #[prost(message, optional, tag = "8")]
     pub parts: Option<Parts>,
-    /// Engines that it must not go to: they were tried, or the entry can't reach them.
+    /// Engines that must not be chosen: they were tried, or the requester can't reach them.
     #[prost(fixed32, repeated, tag = "9")]
     pub avoid: Vec<u32>,
-    /// Whether an engine that writes will do.
+    /// Whether to choose among the engines that decode, instead of those that only prefill.
     #[prost(bool, tag = "10")]
     pub decode_engines: bool,
-    /// An engine of another group that keeps some of its start.
+    /// An engine of another group that has a part of the prefix cached.
     #[prost(message, optional, tag = "11")]
     pub cached_prefix: Option<CachedPrefix>,
-    /// Who asks.
+    /// The entry that sends the request.
     #[prost(message, optional, tag = "12")]
     pub requester: Option<Requester>,
 }
 
-/// A question for an engine of one group that writes an output.
+/// A request for an engine of one group that decodes a stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct DecodeRequest {
-    /// The name that its booking will have.
+    /// The id that the reservation will have.
     #[prost(fixed64, tag = "1")]
     pub reservation: ReservationId,
     /// The group.
@@ -142,27 +144,27 @@
     /// The service.
     #[prost(fixed32, tag = "3")]
     pub service: u32,
-    /// Within which time the first token is wanted, in milliseconds.
+    /// The objective for the time to the first token, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub objective_ms: u32,
-    /// Engines that it must not go to.
+    /// Engines that must not be chosen.
     #[prost(fixed32, repeated, tag = "5")]
     pub avoid: Vec<u32>,
-    /// After how long the stream has surely ended, in milliseconds.
+    /// The time after which the stream has certainly ended, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub ttl_ms: u32,
-    /// The share of an engine's places up to which it may be filled, in hundredths.
+    /// The percentage of its slots up to which an engine may be filled.
     #[prost(uint32, tag = "7")]
     pub max_fill_percent: u32,
-    /// Who asks.
+    /// The entry that sends the request.
     #[prost(message, optional, tag = "8")]
     pub requester: Option<Requester>,
 }
 
-/// A question for a permit to send one request to a target.
+/// A request for a permit to send one request to a target.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct PermitRequest {
-    /// The name of the question.
+    /// The id by which the response is matched.
     #[prost(fixed64, tag = "1")]
     pub reservation: ReservationId,
     /// The service.
@@ -171,34 +173,34 @@
     /// The target.
     #[prost(fixed32, tag = "3")]
     pub target: u32,
-    /// Who asks.
+    /// The entry that sends the request.
     #[prost(message, optional, tag = "4")]
     pub requester: Option<Requester>,
-    /// The limit as the entry knows it.
+    /// The limit as far as the requester knows it.
     #[prost(message, optional, tag = "5")]
     pub limit: Option<TargetLimit>,
 }
 
-/// Which entry asks, and for how urgent a request.
+/// The entry that sends a request, and the priority of the caller's request behind it.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Requester {
     /// The hash of the entry's name.
     #[prost(fixed64, tag = "1")]
     pub entry: u64,
-    /// How urgent the request is: 0 goes first.
+    /// The priority; 0 is the most urgent.
     #[prost(uint32, tag = "2")]
     pub priority: u32,
 }
 
 impl Requester {
-    /// Who asks for a permit; ranks beyond the least urgent are that.
-    pub fn ask(&self) -> pacing::Requester {
-        let rank = pacing::Priority::try_from(self.priority).unwrap_or(pacing::Priority::MAX);
-        pacing::Requester { entry: self.entry, priority: rank }
+    /// The requester of a permit; a priority out of range becomes the least urgent.
+    pub fn to_pacing(&self) -> pacing::Requester {
+        let priority = pacing::Priority::try_from(self.priority).unwrap_or(pacing::Priority::MAX);
+        pacing::Requester { entry: self.entry, priority }
     }
 }
 
-/// A limit that a target named, or that it names none any more.
+/// The limit that a target named, or that it no longer names one.
 #[derive(Clone, Copy, PartialEq, Message)]
 pub struct TargetLimit {
     /// The service.
@@ -207,18 +209,18 @@
     /// The target.
     #[prost(fixed32, tag = "2")]
     pub target: u32,
-    /// Requests a second; none if it names no limit.
+    /// Requests per second; none if the target names no limit.
     #[prost(double, optional, tag = "3")]
     pub rate: Option<f64>,
-    /// How long ago the request was sent that the target answered so, in milliseconds.
+    /// How long ago the request was sent whose response named the limit, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub request_age_ms: u32,
-    /// How long ago its answer came, in milliseconds.
+    /// How long ago that response arrived, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub response_age_ms: u32,
 }
 
-/// Parts of a prompt in its order, in columns of equal length.
+/// The parts of a prompt in order, as columns of equal length.
 #[derive(Clone, PartialEq, Message)]
 pub struct Parts {
     /// Their ids.
@@ -229,35 +231,35 @@
     pub tokens: Vec<u32>,
 }
 
-/// An engine that keeps some of a prompt's start.
+/// An engine that has a part of a prompt's prefix cached.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct CachedPrefix {
     /// The engine.
     #[prost(fixed32, tag = "1")]
     pub engine: u32,
-    /// How many tokens.
+    /// The number of cached tokens.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
 }
 
-/// The answer to a question.
+/// The response to a request for an engine or a permit.
 #[derive(Clone, PartialEq, Message)]
 pub struct Response {
-    /// The booking that the question named.
+    /// The id that the request carried.
     #[prost(fixed64, tag = "1")]
     pub reservation: ReservationId,
-    /// Whether there is room.
+    /// The coordinator's decision.
     #[prost(oneof = "Decision", tags = "2, 3, 4")]
     pub decision: Option<Decision>,
 }
 
-/// Whether a group has room for a prompt.
+/// The decision on a request.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Oneof)]
 pub enum Decision {
-    /// It was booked.
+    /// An engine was reserved.
     #[prost(message, tag = "2")]
     Granted(Granted),
-    /// It can't be read in time, or there is no permit.
+    /// No engine of the group is free in time, or there is no permit.
     #[prost(message, tag = "3")]
     Refused(Refused),
     /// A permit was given.
@@ -269,56 +271,56 @@
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Permitted {}
 
-/// Where a prompt was booked.
+/// A reservation at an engine.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Granted {
-    /// The engine that reads it.
+    /// The engine that prefills the prompt or decodes the stream.
     #[prost(fixed32, tag = "1")]
     pub engine: u32,
-    /// The engine from which it first copies the prompt's start.
+    /// The engine from which it first copies the prompt's prefix.
     #[prost(fixed32, tag = "2")]
     pub copy_from: u32,
-    /// Tokens that are to be read.
+    /// Tokens to prefill.
     #[prost(uint64, tag = "3")]
     pub tokens: u64,
-    /// Tokens that waited there before it.
+    /// Tokens that were queued there before the prompt.
     #[prost(uint64, tag = "4")]
     pub waiting: u64,
-    /// Whether a permit was given with it, see [`crate::request::permits`].
+    /// Whether the grant includes a permit, see [`crate::request::permits`].
     #[prost(bool, tag = "5")]
     pub permit: bool,
 }
 
-/// What a group says that has no room.
+/// A refusal by a group without a free engine or permit.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Refused {
-    /// When there will be some, in microseconds.
+    /// The time after which a request can succeed, in microseconds.
     #[prost(uint64, tag = "1")]
     pub retry_after_us: u64,
-    /// Which of its engines keeps most of the prompt's start.
+    /// The engine of the group that has most of the prompt's prefix cached.
     #[prost(message, optional, tag = "2")]
     pub cached_prefix: Option<CachedPrefix>,
-    /// Whether one of its engines that write would read it.
+    /// Whether one of the group's decode engines could prefill the prompt in time.
     #[prost(bool, tag = "3")]
     pub decode_engine: bool,
 }
 
-/// What became of a prompt, for the coordinator of the engine's group.
+/// The outcome of a prompt, for the coordinators of the engine's group.
 #[derive(Clone, PartialEq, Message)]
 pub struct Report {
-    /// The booking that ends; 0 if there was none.
+    /// The reservation that ends; 0 if there was none.
     #[prost(fixed64, tag = "1")]
     pub reservation: ReservationId,
     /// The engine.
     #[prost(fixed32, tag = "2")]
     pub engine: u32,
-    /// Parts that the engine now keeps.
+    /// Parts that the engine now has cached.
     #[prost(message, optional, tag = "3")]
     pub cached: Option<Parts>,
-    /// Whether the engine could not be reached or broke off.
+    /// Whether the engine was unreachable or its connection broke.
     #[prost(bool, tag = "4")]
     pub failed: bool,
-    /// How KV cache came to it from another engine.
+    /// The transfer of KV cache to the engine from another one.
     #[prost(message, optional, tag = "5")]
     pub transfer: Option<Transfer>,
 }
@@ -326,35 +328,35 @@
 /// A transfer of KV cache.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Transfer {
-    /// The engine that it came from.
+    /// The engine that sent the KV cache.
     #[prost(fixed32, tag = "1")]
     pub source: u32,
-    /// How long it was on its way, with the first step of the output, in microseconds.
+    /// The time that the transfer took, including the first decode step, in microseconds.
     #[prost(uint64, tag = "2")]
     pub duration_us: u64,
 }
 
-/// Records of a stream of the log that changed something, all that did within a span of it.
+/// All records within a span of a stream of the log that changed something.
 #[derive(Clone, PartialEq, Message)]
-pub struct News {
-    /// The stream, as its place in [`crate::cluster::tail::TOPICS`].
+pub struct LogRecords {
+    /// The stream, as its index in [`crate::cluster::tail::TOPICS`].
     #[prost(uint32, tag = "1")]
     pub topic: u32,
-    /// The start of the span: whoever has read up to here lacks nothing but these records.
+    /// The start of the span: an entry that has read up to here misses only these records.
     #[prost(uint64, tag = "2")]
-    pub before: u64,
+    pub start: u64,
     /// The records, in order.
     #[prost(message, repeated, tag = "3")]
-    pub records: Vec<Row>,
-    /// Whether calls to the log have lately failed for the entry that read them.
+    pub records: Vec<LogRecord>,
+    /// Whether calls to the log have recently failed for the entry that read the records.
     #[prost(bool, tag = "4")]
-    pub troubled: bool,
+    pub log_degraded: bool,
 }
 
 /// One record of the log.
 #[derive(Clone, PartialEq, Message)]
-pub struct Row {
-    /// Its place in the stream.
+pub struct LogRecord {
+    /// Its offset in the stream.
     #[prost(uint64, tag = "1")]
     pub offset: u64,
     /// Its key; empty in a stream without keys.
@@ -366,13 +368,13 @@
 }
 
 impl Parts {
-    /// The parts of a prompt.
+    /// Encodes the parts of a prompt.
     pub fn new(parts: &[Part]) -> Self {
         let (ids, tokens) = parts.iter().map(|part| (part.id, part.tokens)).unzip();
         Self { ids, tokens }
     }
 
-    /// The rows; those of a datagram with columns of different lengths end with the shortest.
+    /// Decodes the parts. Columns of different lengths are cut to the shortest.
     pub fn rows(&self) -> Vec<Part> {
         let rows = self.ids.iter().zip(&self.tokens);
         rows.map(|(&id, &tokens)| Part { id, tokens }).collect()
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -1,6 +1,6 @@
-//! What is known of the other entries: where they are, and the work that they told of.
+//! The other entries: their addresses, and the work that they reported.
 
-use crate::cluster::entry_state::{EntryState, Others, ServiceLoad, Work, short_hash};
+use crate::cluster::entry_state::{EntryState, PeerLoad, ServiceLoad, Work, short_hash};
 use crate::cluster::groups::Member;
 use crate::cluster::loads::Loads;
 use policy::Hash;
@@ -10,15 +10,17 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Peers that are sent one datagram; with more, they take turns, but for those whom entries that read
-/// the log for all have to tell so. Coordinators know what is booked, so the rest may be as old as it
-/// takes: 16 datagrams each 300 ms are 12 KB a second, however many entries there are.
-const AT_ONCE: usize = 16;
+/// The maximum number of peers that receive one datagram. With more peers they take turns, except
+/// that designated readers of the log send to all of them. Coordinators know all reservations, so
+/// other state may be older: 16 datagrams each 300 ms are 12 KB per second, however many entries
+/// there are.
+const MAX_RECIPIENTS: usize = 16;
 
-/// What a peer said counts for this long, for each round in which it tells all others.
-const FRESH: Duration = Duration::from_millis(700);
+/// How long the state of a peer is valid, multiplied by the number of rounds that it needs to send
+/// to all others.
+const STATE_TTL: Duration = Duration::from_millis(700);
 
-/// What is known of the other entries.
+/// The other entries.
 #[derive(Debug, Default)]
 pub struct Peers {
     inner: Mutex<Inner>,
@@ -27,39 +29,40 @@
 #[derive(Debug, Default)]
 struct Inner {
     addresses: Vec<SocketAddr>,
-    /// Where among them the next turn begins.
-    told: usize,
+    /// The index of the first address of the next round.
+    next: usize,
     members: Arc<[Member]>,
-    heard: HashMap<u64, Peer>,
-    totals: HashMap<u32, Others>,
+    /// Peers whose state is still valid.
+    peers: HashMap<u64, Peer>,
+    totals: HashMap<u32, PeerLoad>,
 }
 
 #[derive(Debug)]
 struct Peer {
-    run: u64,
+    incarnation: u64,
     sequence: u64,
-    at: Instant,
-    work: Vec<(u32, Others)>,
+    received_at: Instant,
+    work: Vec<(u32, PeerLoad)>,
     loads: Vec<ServiceLoad>,
 }
 
 impl Peers {
-    /// The other entries' work at an engine.
-    pub fn load_at(&self, engine: Hash) -> Others {
+    /// Returns the work of the other entries at an engine.
+    pub fn load_at(&self, engine: Hash) -> PeerLoad {
         self.lock().totals.get(&short_hash(engine)).copied().unwrap_or_default()
     }
 
-    /// How many other entries were heard lately.
+    /// Returns the number of other entries whose datagrams currently arrive.
     pub fn reachable_count(&self) -> u32 {
-        u32::try_from(self.lock().heard.len()).unwrap_or(u32::MAX)
+        u32::try_from(self.lock().peers.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether another entry was heard lately.
+    /// Returns whether the datagrams of another entry currently arrive.
     pub fn is_reachable(&self, entry: Hash) -> bool {
-        self.lock().heard.contains_key(&entry)
+        self.lock().peers.contains_key(&entry)
     }
 
-    /// Takes in which entries live and where they are, this one included.
+    /// Sets the live entries with their addresses, including this one.
     pub fn set_members(&self, mut members: Vec<Member>) {
         members.sort_by_key(|member| member.key);
         let mut inner = self.lock();
@@ -69,26 +72,27 @@
         }
     }
 
-    /// The entries that live, this one included.
+    /// Returns the live entries, including this one.
     pub fn members(&self) -> Arc<[Member]> {
         self.lock().members.clone()
     }
 
-    /// The entries to be told now: `all`, or those whose turn it is. What silent ones said expires.
-    pub fn turn(&self, all: bool, now: Instant) -> Vec<SocketAddr> {
+    /// Returns the recipients of the next datagram: `all`, or those whose turn it is. Drops the
+    /// state of peers that have become silent.
+    pub fn recipients(&self, all: bool, now: Instant) -> Vec<SocketAddr> {
         let mut inner = self.lock();
         inner.expire(now);
-        if all { inner.addresses.clone() } else { inner.next() }
+        if all { inner.addresses.clone() } else { inner.next_recipients() }
     }
 
-    /// Whether an entry lives at this address.
+    /// Returns whether a live entry has this address.
     pub fn is_known(&self, ip: IpAddr) -> bool {
         self.lock().addresses.iter().any(|address| address.ip() == ip)
     }
 
-    /// Takes in an entry's state; `false` if a newer one is known.
+    /// Applies the state of an entry; returns `false` if a newer one is known.
     pub fn observe(&self, state: EntryState, loads: &Loads, now: Instant) -> bool {
-        self.lock().hear(state, loads, now)
+        self.lock().observe(state, loads, now)
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -97,57 +101,63 @@
 }
 
 impl Inner {
-    /// Takes in a peer's state; `false` if a newer one is known.
-    fn hear(&mut self, state: EntryState, loads: &Loads, now: Instant) -> bool {
-        let EntryState { entry, run, sequence, work, loads: told, .. } = state;
-        let known = self.heard.get(&entry);
-        if known.is_some_and(|peer| peer.run == run && peer.sequence >= sequence) {
+    /// Applies the state of a peer; returns `false` if a newer one is known.
+    fn observe(&mut self, state: EntryState, loads: &Loads, now: Instant) -> bool {
+        let EntryState { entry, incarnation, sequence, work, loads: service_loads, .. } = state;
+        let known = self.peers.get(&entry);
+        if known.is_some_and(|peer| peer.incarnation == incarnation && peer.sequence >= sequence) {
             return false;
         }
-        let before = known.filter(|peer| peer.run == run).map(|peer| &*peer.loads);
-        for load in &told {
-            let before = before.and_then(|rows| rows.iter().find(|b| b.service == load.service));
-            loads.observe(before, load);
+        let previous =
+            known.filter(|peer| peer.incarnation == incarnation).map(|peer| &*peer.loads);
+        for load in &service_loads {
+            let previous =
+                previous.and_then(|rows| rows.iter().find(|row| row.service == load.service));
+            loads.observe(previous, load);
         }
-        self.forget(entry);
+        self.remove(entry);
         let work = work.map(Work::rows).unwrap_or_default();
-        for (engine, others) in &work {
+        for (engine, load) in &work {
             let total = self.totals.entry(*engine).or_default();
-            total.prefill_tokens += others.prefill_tokens;
-            total.streams += others.streams;
+            total.prefill_tokens += load.prefill_tokens;
+            total.streams += load.streams;
         }
-        self.heard.insert(entry, Peer { run, sequence, at: now, work, loads: told });
+        self.peers.insert(
+            entry,
+            Peer { incarnation, sequence, received_at: now, work, loads: service_loads },
+        );
         true
     }
 
-    fn forget(&mut self, entry: u64) {
-        let Some(peer) = self.heard.remove(&entry) else { return };
-        for (engine, others) in peer.work {
+    fn remove(&mut self, entry: u64) {
+        let Some(peer) = self.peers.remove(&entry) else { return };
+        for (engine, load) in peer.work {
             if let Some(total) = self.totals.get_mut(&engine) {
-                total.prefill_tokens = total.prefill_tokens.saturating_sub(others.prefill_tokens);
-                total.streams = total.streams.saturating_sub(others.streams);
+                total.prefill_tokens = total.prefill_tokens.saturating_sub(load.prefill_tokens);
+                total.streams = total.streams.saturating_sub(load.streams);
             }
         }
     }
 
-    /// The peers whose turn it is to be told.
-    fn next(&mut self) -> Vec<SocketAddr> {
-        let all = self.addresses.len();
-        let turn = self.addresses.iter().cycle().skip(self.told).take(all.min(AT_ONCE));
-        let turn = turn.copied().collect();
-        self.told = (self.told + AT_ONCE).checked_rem(all).unwrap_or_default();
-        turn
+    /// Returns the peers whose turn it is, and advances to the next round.
+    fn next_recipients(&mut self) -> Vec<SocketAddr> {
+        let count = self.addresses.len();
+        let round = self.addresses.iter().cycle().skip(self.next).take(count.min(MAX_RECIPIENTS));
+        let round = round.copied().collect();
+        self.next = (self.next + MAX_RECIPIENTS).checked_rem(count).unwrap_or_default();
+        round
     }
 
     fn expire(&mut self, now: Instant) {
-        let rounds = self.addresses.len().div_ceil(AT_ONCE).max(1);
-        let fresh = FRESH * u32::try_from(rounds).unwrap_or(u32::MAX);
-        let silent = self.heard.iter().filter(|(_, peer)| now.duration_since(peer.at) > fresh);
+        let rounds = self.addresses.len().div_ceil(MAX_RECIPIENTS).max(1);
+        let ttl = STATE_TTL * u32::try_from(rounds).unwrap_or(u32::MAX);
+        let silent =
+            self.peers.iter().filter(|(_, peer)| now.duration_since(peer.received_at) > ttl);
         let silent: Vec<u64> = silent.map(|(entry, _)| *entry).collect();
         for entry in silent {
             log::info!(target: "peers", entry; "entry silent");
-            self.forget(entry);
+            self.remove(entry);
         }
-        self.totals.retain(|_, others| *others != Others::default());
+        self.totals.retain(|_, load| *load != PeerLoad::default());
     }
 }
--- a/crates/direct/src/cluster/tail.rs
+++ b/crates/direct/src/cluster/tail.rs
@@ -1,12 +1,12 @@
-//! Who reads the log, so that not every entry has to ask all the time.
+//! Decides which entries read the log, so that not every entry has to poll it.
 //!
-//! **Load pattern.** Each entry follows three streams that rarely hold news, and every call to the
-//! log is paid for. **Without it** the entries of a small system make 100 calls a second to learn of a
-//! change every few seconds. **How.** A few entries, the same for all by
-//! the hashes of their names, read as often as changes have to be seen. With their datagrams they
-//! tell how far the news goes and how old their last read is. The others read when there is news;
-//! also when nobody's last read is fresh, so that losing the readers costs a second and not the
-//! news; and now and then in any case.
+//! **Load pattern.** Each entry follows three streams that rarely change, and every call to the log
+//! is paid for. **Without it** the entries of a small system make 100 calls per second to observe
+//! one change every few seconds. **How.** A few designated readers, which all entries derive from
+//! the hashes of their names, read as often as changes have to be observed. Their datagrams carry
+//! the offset after the newest change and the age of their last read. The other entries read when
+//! there are new records; when no peer's last read is recent, so that the loss of all readers
+//! delays changes by a second instead of hiding them; and at a long interval in any case.
 
 use compact_str::CompactString;
 use plat::epoch::{self, Epoch};
@@ -17,23 +17,23 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout};
 
-/// A stream that is followed.
+/// A stream that entries follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Topic {
     /// The configuration.
     Config,
     /// The list of targets.
     Targets,
-    /// What entries tell each other.
+    /// The entries' own stream, see [`crate::exchange::entry_stream`].
     Notices,
 }
 
 impl Topic {
-    /// The age at which a read of it is no longer fresh.
-    fn fresh(self) -> Duration {
+    /// Returns the age from which on a read of the stream is no longer recent.
+    fn max_read_age(self) -> Duration {
         match self {
-            Self::Config | Self::Targets => FRESH,
-            Self::Notices => FRESH_NOTICES,
+            Self::Config | Self::Targets => MAX_READ_AGE,
+            Self::Notices => MAX_NOTICES_READ_AGE,
         }
     }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// All topics.
+/// All topics. Datagrams carry a topic as its index in this list.
 pub const TOPICS: [Topic; 3] = [Topic::Config, Topic::Targets, Topic::Notices];
 
 /// Why an entry reads a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadReason {
-    /// It reads for all.
-    ForAll,
-    /// It has not read for long.
-    Own,
-    /// No entry that it hears has read lately.
+    /// It is a designated reader.
+    DesignatedReader,
+    /// Its own last read is too old.
+    OwnReadDue,
+    /// No reachable peer has read the stream recently.
     NoFreshPeer,
-    /// Another has read news.
+    /// A peer has read new records.
     NewRecords,
 }
 
@@ -67,26 +67,26 @@
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Self::ForAll => "for-all",
-            Self::Own => "own",
+            Self::DesignatedReader => "for-all",
+            Self::OwnReadDue => "own",
             Self::NoFreshPeer => "none-fresh",
             Self::NewRecords => "news",
         }
     }
 }
 
-/// What an entry knows of a stream.
+/// How far an entry has read a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadStatus {
     /// The stream.
     pub topic: Topic,
     /// The offset after the last record that changed something.
     pub change_end: Offset,
-    /// How long ago it was last read.
+    /// How long ago the stream was last read.
     pub age: Duration,
 }
 
-/// Records of a stream that another entry passes on: all that changed something from `before` on to the
+/// Records of a stream that another entry forwards: all that changed something, from `start` to the
 /// last of them.
 #[derive(Debug, Clone)]
 pub struct RecordSpan {
@@ -94,126 +94,135 @@
     pub topic: Topic,
     /// The start of the span.
     pub start: Offset,
-    /// Whether calls to the log have lately failed for the entry that read it.
+    /// Whether calls to the log have recently failed for the entry that read the records.
     pub log_degraded: bool,
     /// The records, in order.
     pub records: Vec<Record>,
 }
 
 impl RecordSpan {
-    /// The end of the span.
-    pub fn after(&self) -> Offset {
+    /// Returns the end of the span.
+    pub fn end(&self) -> Offset {
         self.records.last().map_or(self.start, |last| last.offset + 1)
     }
 }
 
-/// What an entry that follows a stream does next.
+/// The next step of an entry that follows a stream.
 #[derive(Debug, Clone)]
 pub enum FollowStep {
-    /// It reads.
+    /// Read the stream.
     Read(ReadReason),
-    /// It takes what it was told.
+    /// Apply records that a peer forwarded.
     Apply(RecordSpan),
 }
 
-/// Spans that wait for what lies before them; more are left to be read.
-const MAX_TOLD: usize = 64;
+/// The maximum number of spans that wait for the records before them. Further ones are dropped, and
+/// their records read from the log.
+const MAX_OFFERED: usize = 64;
 
-/// Entries that read for all, in a small system.
-const FEW_READERS: usize = 2;
+/// Designated readers of a small system.
+const SMALL_SYSTEM_READERS: usize = 2;
 
-/// Entries that read for all, in one of more than [`SMALL`] entries.
+/// Designated readers of a system of more than [`SMALL_SYSTEM`] entries.
 const READERS: usize = 3;
 
-/// Up to so many entries a system is small.
-const SMALL: usize = 8;
+/// The largest number of entries of a small system.
+const SMALL_SYSTEM: usize = 8;
 
-/// A last read older than this is not fresh. A reader waits up to a second for news; and once
-/// nobody's read is fresh, an own one has to come within the two seconds that a change may take.
-const FRESH: Duration = Duration::from_millis(1_300);
+/// A read older than this is not recent. A reader waits up to a second for new records; and when no
+/// peer's read is recent, this entry's own read has to follow within the two seconds in which a
+/// change has to take effect.
+const MAX_READ_AGE: Duration = Duration::from_millis(1_300);
 
-/// The same of what entries tell each other: changes of stage are announced 2.2 seconds ahead.
-const FRESH_NOTICES: Duration = Duration::from_millis(1_700);
+/// The same for the entries' own stream: stage changes are announced 2.2 seconds ahead.
+const MAX_NOTICES_READ_AGE: Duration = Duration::from_millis(1_700);
 
-/// Each entry reads at least this often, so that it relies on nobody for long.
-const SELF: Duration = Duration::from_secs(10);
+/// Each entry reads at least this often, so that it doesn't rely on others for long.
+const OWN_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often an entry that does not read looks whether the others' reads are still fresh.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often an entry that doesn't read checks whether its peers' reads are still recent.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Mixed into the hashes of names, so that the readers are not those that come first elsewhere.
+/// Mixed into the hashes of names, so that the readers are not the entries that other rankings put
+/// first.
 const SALT: policy::Hash = 0x7761_7463_6865_7273;
 
-/// What is known of who has read what.
+/// How far each entry has read the log.
 #[derive(Debug, Default)]
 pub struct Tail {
     inner: Mutex<Inner>,
-    news: Notify,
-    /// The newest epoch of the log that is known; none before the first.
+    /// Notified when a peer reports or forwards something new.
+    updated: Notify,
+    /// The newest observed epoch of the log; none before the first.
     epoch: watch::Sender<Option<Epoch>>,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    reads_for_all: bool,
+    is_designated_reader: bool,
+    /// The change end of each stream and the time of the last read, for this entry.
     own: HashMap<Topic, (Offset, Instant)>,
-    others: HashMap<(u64, Topic), (Offset, Instant)>,
-    told: Vec<RecordSpan>,
+    /// The same for other entries, by the hash of the name.
+    peers: HashMap<(u64, Topic), (Offset, Instant)>,
+    /// Spans that were forwarded and not yet applied.
+    offered: Vec<RecordSpan>,
     /// The configuration in force, as it was written.
     config: Option<Record>,
-    /// The newest epoch of the log, if it has come back from an older copy since this entry first read it.
+    /// The newest epoch of the log, if the log was restored from an older copy since this entry
+    /// first read it.
     restored: Option<Restored>,
-    /// This entry's place among all in the order in which they read a log that came back older.
-    place: u32,
+    /// This entry's rank in the order in which the entries read a restored log.
+    rank: u32,
 }
 
-/// An epoch of the log that began while this entry lived.
+/// An epoch of the log that began during the lifetime of this process.
 #[derive(Debug, Clone, Copy)]
 struct Restored {
     epoch: Epoch,
-    /// Since when it is known.
-    since: Instant,
+    /// When it was first observed.
+    observed_at: Instant,
 }
 
-/// An epoch that was not known before.
+/// An epoch that was observed for the first time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NewEpoch {
-    /// The one that was known; none at first.
+    /// The newest epoch until then; none at first.
     pub before: Option<Epoch>,
 }
 
-/// Between two entries that read a log that came back older: all of them have to, and together they would
-/// ask for more than it answers in a second.
-const RESTORED_EACH: Duration = Duration::from_millis(5);
+/// The delay between the reads of two entries after the log was restored: all of them have to read
+/// it, and if they did so at once they would make more calls than it answers in a second.
+const RESTORE_STAGGER: Duration = Duration::from_millis(5);
 
 impl Inner {
-    /// How long this entry leaves a log that came back older to the others.
-    fn delay(&self) -> Duration {
-        RESTORED_EACH * self.place
+    /// Returns the delay before this entry reads a restored log.
+    fn restore_delay(&self) -> Duration {
+        RESTORE_STAGGER * self.rank
     }
 
-    /// Whether it is not this entry's turn yet to read a log that came back older, up to `next` of which
-    /// it had read before.
-    fn waits_restored(&self, next: Offset, now: Instant) -> bool {
-        let Some(Restored { epoch, since }) = self.restored else { return false };
-        epoch::epoch(next) < epoch && now < since + self.delay()
+    /// Returns whether this entry, which has read up to `next`, still has to leave a restored log
+    /// to entries of lower rank.
+    fn defers_restored_read(&self, next: Offset, now: Instant) -> bool {
+        let Some(Restored { epoch, observed_at }) = self.restored else { return false };
+        epoch::epoch(next) < epoch && now < observed_at + self.restore_delay()
     }
 }
 
 impl Tail {
-    /// Takes in which entries live.
+    /// Sets the live entries.
     pub fn set_entries(&self, own: &str, entries: &[CompactString]) {
-        let readers = if entries.len() <= SMALL { FEW_READERS } else { READERS };
-        let rank = |name: &str| policy::mix(policy::hash(name), SALT);
-        let before = entries.iter().filter(|name| rank(name) < rank(own)).count();
+        let readers = if entries.len() <= SMALL_SYSTEM { SMALL_SYSTEM_READERS } else { READERS };
+        let order = |name: &str| policy::mix(policy::hash(name), SALT);
+        let rank = entries.iter().filter(|name| order(name) < order(own)).count();
         let mut inner = self.lock();
-        inner.reads_for_all = before < readers;
-        inner.place = u32::try_from(before).unwrap_or(u32::MAX);
+        inner.is_designated_reader = rank < readers;
+        inner.rank = u32::try_from(rank).unwrap_or(u32::MAX);
     }
 
-    /// Takes in an epoch of the log that this entry has read, or that another knows, if it is a new one.
+    /// Records an epoch of the log that this entry has read or that a peer reports. Returns it if
+    /// it is new.
     pub fn observe_epoch(&self, epoch: Epoch, now: Instant) -> Option<NewEpoch> {
-        // Peers tell of it with each datagram.
+        // Peers report it with each datagram, so the common case takes no lock of the state.
         if self.epoch.borrow().is_some_and(|known| known >= epoch) {
             return None;
         }
@@ -222,191 +231,198 @@
         if before.is_some_and(|known| known >= epoch) {
             return None;
         }
-        inner.restored = before.map(|_| Restored { epoch, since: now });
+        inner.restored = before.map(|_| Restored { epoch, observed_at: now });
         self.epoch.send_replace(Some(epoch));
         Some(NewEpoch { before })
     }
 
-    /// Waits until the log has come back from an older copy since the epoch `seen`, and then for this entry's
-    /// turn.
+    /// Waits until the log has been restored from an older copy since the epoch `seen`, and then
+    /// for this entry's turn to read it.
     pub async fn wait_for_restore(&self, seen: &mut Option<Epoch>) {
         let mut epochs = self.epoch.subscribe();
         loop {
             let Ok(known) = epochs.wait_for(|known| known != seen).await.map(|known| *known) else {
-                // The sender lives as long as this.
+                // Never happens: `self` holds the sender.
                 return std::future::pending().await;
             };
-            // The first that is known says nothing of one before.
+            // The first observed epoch is no restore.
             if std::mem::replace(seen, known).is_some() {
                 break;
             }
         }
-        let delay = self.lock().delay();
+        let delay = self.lock().restore_delay();
         tokio::time::sleep(delay).await;
     }
 
-    /// Whether this entry reads for the others.
-    pub fn reads_for_all(&self) -> bool {
-        self.lock().reads_for_all
+    /// Returns whether this entry reads the log for the others.
+    pub fn is_designated_reader(&self) -> bool {
+        self.lock().is_designated_reader
     }
 
-    /// Takes in records that another entry passes on.
-    pub fn offer(&self, told: RecordSpan) {
+    /// Queues records that another entry forwards.
+    pub fn offer(&self, span: RecordSpan) {
         let mut inner = self.lock();
-        if inner.told.len() < MAX_TOLD {
-            inner.told.push(told);
+        if inner.offered.len() < MAX_OFFERED {
+            inner.offered.push(span);
         }
         drop(inner);
-        self.news.notify_waiters();
+        self.updated.notify_waiters();
     }
 
-    /// Records that follow on what was read up to `next`, with what is known already left out.
-    fn take(&self, topic: Topic, next: Offset) -> Option<RecordSpan> {
+    /// Takes the queued records that continue at `next`, without those before it.
+    fn take_offered(&self, topic: Topic, next: Offset) -> Option<RecordSpan> {
         let mut inner = self.lock();
-        inner.told.retain(|told| told.topic != topic || told.after() > next);
-        let at = inner.told.iter().position(|t| t.topic == topic && t.start <= next)?;
-        let mut told = inner.told.swap_remove(at);
-        // What follows on it is taken at once: each time costs as much as the list of targets is long.
+        inner.offered.retain(|span| span.topic != topic || span.end() > next);
+        let at = inner.offered.iter().position(|s| s.topic == topic && s.start <= next)?;
+        let mut span = inner.offered.swap_remove(at);
+        // Spans that continue it are merged: applying a span costs time in proportion to the number
+        // of targets, however few records it has.
         while let Some(at) =
-            inner.told.iter().position(|t| t.topic == topic && t.start <= told.after())
+            inner.offered.iter().position(|s| s.topic == topic && s.start <= span.end())
         {
-            let more = inner.told.swap_remove(at);
-            let after = told.after();
-            told.log_degraded |= more.log_degraded;
-            told.records.extend(more.records.into_iter().filter(|record| record.offset >= after));
+            let more = inner.offered.swap_remove(at);
+            let end = span.end();
+            span.log_degraded |= more.log_degraded;
+            span.records.extend(more.records.into_iter().filter(|record| record.offset >= end));
         }
-        told.records.retain(|record| record.offset >= next);
-        Some(told)
+        span.records.retain(|record| record.offset >= next);
+        Some(span)
     }
 
-    /// Remembers the configuration in force, for those that can't read it.
-    pub fn keep_config(&self, record: Record) {
+    /// Stores the configuration in force, for entries that can't read the log.
+    pub fn store_config(&self, record: Record) {
         let mut inner = self.lock();
         if inner.config.as_ref().is_none_or(|known| known.offset < record.offset) {
             inner.config = Some(record);
         }
     }
 
-    /// The configuration in force, if it was written at `from` or later.
+    /// Returns the configuration in force, if it was written at `from` or later.
     pub fn config(&self, from: Offset) -> Option<Record> {
         self.lock().config.clone().filter(|record| record.offset >= from)
     }
 
-    /// The offset after the last record that changed something, as far as this entry knows.
+    /// Returns the offset after the last known record that changed something.
     pub fn change_end(&self, topic: Topic) -> Offset {
-        self.lock().own.get(&topic).map_or(0, |(news, _)| *news)
+        self.lock().own.get(&topic).map_or(0, |(change_end, _)| *change_end)
     }
 
-    /// Notes that this entry was told of news. It has not read the log itself.
-    pub fn knows(&self, topic: Topic, news: Offset) {
+    /// Records changes that a peer forwarded. This doesn't count as a read of the log.
+    pub fn record_forwarded(&self, topic: Topic, change_end: Offset) {
         if let Some((known, _)) = self.lock().own.get_mut(&topic) {
-            *known = news.max(*known);
+            *known = change_end.max(*known);
         }
     }
 
-    /// Notes a read of this entry's, and the offset after the last record that changed something.
-    /// Says whether the others should hear of it at once.
-    pub fn record_read(&self, topic: Topic, news: Offset, now: Instant) -> bool {
-        let before = self.lock().own.insert(topic, (news, now));
-        before.is_none_or(|(before, _)| before < news)
+    /// Records a read by this entry, with the offset after the last record that changed something.
+    /// Returns whether to publish it at once.
+    pub fn record_read(&self, topic: Topic, change_end: Offset, now: Instant) -> bool {
+        let previous = self.lock().own.insert(topic, (change_end, now));
+        previous.is_none_or(|(previous, _)| previous < change_end)
     }
 
-    /// What this entry can tell the others.
+    /// Returns how far this entry has read each stream, for its peers.
     pub fn read_statuses(&self, now: Instant) -> Vec<ReadStatus> {
         let inner = self.lock();
-        let seen = inner.own.iter().map(|(topic, (news, at))| ReadStatus {
+        let statuses = inner.own.iter().map(|(topic, (change_end, read_at))| ReadStatus {
             topic: *topic,
-            change_end: *news,
-            age: now.duration_since(*at),
+            change_end: *change_end,
+            age: now.duration_since(*read_at),
         });
-        seen.collect()
+        statuses.collect()
     }
 
-    /// Takes in what another entry tells.
-    pub fn observe(&self, entry: u64, seen: ReadStatus, now: Instant) {
-        let Some(at) = now.checked_sub(seen.age) else { return };
+    /// Records how far another entry has read a stream.
+    pub fn observe(&self, entry: u64, status: ReadStatus, now: Instant) {
+        let Some(read_at) = now.checked_sub(status.age) else { return };
         let mut inner = self.lock();
-        inner.others.insert((entry, seen.topic), (seen.change_end, at));
-        let known = inner.own.get(&seen.topic).is_some_and(|(news, _)| *news >= seen.change_end);
+        inner.peers.insert((entry, status.topic), (status.change_end, read_at));
+        let known = inner
+            .own
+            .get(&status.topic)
+            .is_some_and(|(change_end, _)| *change_end >= status.change_end);
         drop(inner);
-        // Hundreds of datagrams a second tell nothing new; each would wake all that wait.
+        // Hundreds of datagrams per second report nothing new; each would wake all waiting tasks.
         if !known {
-            self.news.notify_waiters();
+            self.updated.notify_waiters();
         }
     }
 
-    /// Forgets an entry that is silent.
+    /// Removes what a silent entry has reported.
     pub fn forget(&self, entry: u64) {
-        self.lock().others.retain(|(other, _), _| *other != entry);
+        self.lock().peers.retain(|(other, _), _| *other != entry);
     }
 
-    /// How old is what this entry knows of a stream: since when nobody has read more of it.
+    /// Returns the age of this entry's knowledge of a stream: the time since the newest read by any
+    /// entry that found no more than this entry knows.
     pub fn age(&self, topic: Topic, now: Instant) -> Option<Duration> {
         let inner = self.lock();
-        let (known, read) = *inner.own.get(&topic)?;
-        let others =
-            inner.others.iter().filter(|((_, of), (news, _))| *of == topic && *news <= known);
-        let newest = others.map(|(_, (_, at))| *at).chain([read]).max()?;
+        let (known, read_at) = *inner.own.get(&topic)?;
+        let peers = inner
+            .peers
+            .iter()
+            .filter(|((_, of), (change_end, _))| *of == topic && *change_end <= known);
+        let newest = peers.map(|(_, (_, read_at))| *read_at).chain([read_at]).max()?;
         Some(now.saturating_duration_since(newest))
     }
 
-    /// An entry that has read more of a stream than up to `next`.
-    pub fn ahead(&self, topic: Topic, next: Offset) -> Option<u64> {
+    /// Returns an entry that has read a stream beyond `next`.
+    pub fn peer_ahead(&self, topic: Topic, next: Offset) -> Option<u64> {
         let inner = self.lock();
-        let mut others = inner.others.iter();
-        let ahead = others.find(|((_, of), (news, _))| *of == topic && *news > next);
+        let mut peers = inner.peers.iter();
+        let ahead = peers.find(|((_, of), (change_end, _))| *of == topic && *change_end > next);
         ahead.map(|((entry, _), _)| *entry)
     }
 
-    /// Whether this entry should read the stream, of which it has read all before `next`.
+    /// Returns whether this entry should read the stream, which it has read up to `next`.
     pub fn should_read(&self, topic: Topic, next: Offset, now: Instant) -> bool {
-        self.why_read(topic, next, now).is_some()
+        self.read_reason(topic, next, now).is_some()
     }
 
-    /// Why this entry should read the stream, if it should.
-    pub fn why_read(&self, topic: Topic, next: Offset, now: Instant) -> Option<ReadReason> {
+    /// Returns the reason for which this entry should read the stream, if it should.
+    pub fn read_reason(&self, topic: Topic, next: Offset, now: Instant) -> Option<ReadReason> {
         let inner = self.lock();
-        let recent = |at: Instant, span: Duration| now.duration_since(at) < span;
-        let own = inner.own.get(&topic).is_some_and(|(_, at)| recent(*at, SELF));
-        if inner.reads_for_all {
-            return Some(ReadReason::ForAll);
+        let is_recent = |at: Instant, span: Duration| now.duration_since(at) < span;
+        let own = inner.own.get(&topic).is_some_and(|(_, at)| is_recent(*at, OWN_READ_INTERVAL));
+        if inner.is_designated_reader {
+            return Some(ReadReason::DesignatedReader);
         }
         if !own {
-            return Some(ReadReason::Own);
+            return Some(ReadReason::OwnReadDue);
         }
-        let others = inner.others.iter().filter(|((_, of), _)| *of == topic);
-        let mut fresh = others.filter(|(_, (_, at))| recent(*at, topic.fresh())).peekable();
-        if fresh.peek().is_none() {
+        let peers = inner.peers.iter().filter(|((_, of), _)| *of == topic);
+        let mut recent =
+            peers.filter(|(_, (_, at))| is_recent(*at, topic.max_read_age())).peekable();
+        if recent.peek().is_none() {
             return Some(ReadReason::NoFreshPeer);
         }
-        fresh.any(|(_, (news, _))| *news > next).then_some(ReadReason::NewRecords)
+        recent.any(|(_, (change_end, _))| *change_end > next).then_some(ReadReason::NewRecords)
     }
 
-    /// Waits until this entry should read the stream, or is told of what comes next in it. If its last
-    /// call failed, it does not go on before `again` for the mere reason that nobody else has read it
-    /// either.
+    /// Waits until this entry should read the stream, or a peer forwards its next records. After a
+    /// failed call, the lack of recent reads is no reason to read again before `retry_at`.
     pub async fn next_step(
         &self,
         topic: Topic,
         next: Offset,
-        again: Option<Instant>,
+        retry_at: Option<Instant>,
     ) -> FollowStep {
         loop {
-            if let Some(told) = self.take(topic, next) {
-                return FollowStep::Apply(told);
+            if let Some(span) = self.take_offered(topic, next) {
+                return FollowStep::Apply(span);
             }
             let now = Instant::now();
-            let waits = again.is_some_and(|again| now < again);
-            let restored = self.lock().waits_restored(next, now);
-            match self.why_read(topic, next, now) {
-                Some(ReadReason::NoFreshPeer | ReadReason::Own) if waits => {}
-                Some(ReadReason::NoFreshPeer | ReadReason::Own | ReadReason::NewRecords)
-                    if restored => {}
+            let backs_off = retry_at.is_some_and(|retry_at| now < retry_at);
+            let defers = self.lock().defers_restored_read(next, now);
+            match self.read_reason(topic, next, now) {
+                Some(ReadReason::NoFreshPeer | ReadReason::OwnReadDue) if backs_off => {}
+                Some(ReadReason::NoFreshPeer | ReadReason::OwnReadDue | ReadReason::NewRecords)
+                    if defers => {}
                 Some(reason) => return FollowStep::Read(reason),
                 None => {}
             }
-            // Ends early when another entry tells something.
-            let _ = timeout(LOOK, self.news.notified()).await;
+            // Ends early when a peer reports or forwards something new.
+            let _ = timeout(CHECK_INTERVAL, self.updated.notified()).await;
         }
     }
 
--- a/crates/direct/src/exchange/broadcast.rs
+++ b/crates/direct/src/exchange/broadcast.rs
@@ -1,38 +1,39 @@
-//! Passes on what was read in the log, so that not each entry has to read it for itself.
+//! Forwards what was read in the log, so that not every entry has to read it.
 //!
 //! **Load pattern.** A change of one target, of the configuration or of the entries concerns all
-//! entries, and each call to the log is paid for. **Without it** each of them makes a call to learn of one
-//! record. **How.** An entry that reads for all sends the records themselves to
-//! the others. Whoever has read up to where they begin takes them as if it had read them; whoever lacks
-//! something before them, or does not get the datagram, reads the log as soon as it hears that there is
-//! news, see [`crate::cluster::tail`]. Nothing is taken twice or out of order.
+//! entries, and each call to the log is paid for. **Without it** every entry makes a call for each
+//! record. **How.** Designated readers send the records themselves to the other entries. An entry
+//! that has read up to the start of such a span applies it like a read of its own. An entry that
+//! lacks earlier records, or misses the datagram, reads the log as soon as it observes that there
+//! are new records, see [`crate::cluster::tail`]. No record is applied twice or out of order.
 
-use crate::cluster::messages::{Lack, News, Payload, Row};
+use crate::cluster::messages::{ConfigRequest, LogRecord, LogRecords, Payload};
 use crate::cluster::tail::{RecordSpan, TOPICS, Topic};
 use crate::shared::Shared;
 use bytes::Bytes;
 use plat::{Offset, Record, epoch};
 use std::net::SocketAddr;
 
-/// Bytes of records in one datagram: one of this size crosses networks in one piece.
+/// Bytes of records in one datagram, which then crosses networks without fragmentation.
 const MAX_BYTES: usize = 1_200;
 
-/// A single record that is larger than this is left to be read: a configuration of hundreds of routes
-/// or customers. It has to go in one datagram.
+/// A larger record is not forwarded, for it would have to fit into one datagram: peers read a
+/// configuration of hundreds of routes or customers from the log.
 const MAX_RECORD: usize = 32_000;
 
-/// More records than this are left to be read: when thousands of targets start, one call gets them all,
-/// and passed on to hundreds of entries they would fill the link of whoever passes them on.
+/// More records than this are not forwarded. When thousands of targets start, one call reads all
+/// their records, while forwarding them to hundreds of entries would saturate the sender's link.
 const MAX_RECORDS: usize = 16;
 
-/// Passes on what was read, if this entry reads for all.
-pub fn pass_on(shared: &Shared, span: &RecordSpan) {
+/// Forwards what was read, if this entry is a designated reader.
+pub fn forward(shared: &Shared, span: &RecordSpan) {
     let too_large = |record: &Record| size(record) > MAX_RECORD;
-    let many = span.records.len() > MAX_RECORDS || span.records.iter().any(too_large);
-    // Between two epochs lies what nobody has read, unless one record is all there is.
-    let is_whole =
-        span.topic == Topic::Config || epoch::epoch(span.start) == epoch::epoch(span.after());
-    if many || !is_whole || !shared.tail.reads_for_all() {
+    let exceeds_limits = span.records.len() > MAX_RECORDS || span.records.iter().any(too_large);
+    // Records that no entry has read may lie between two epochs, except in the configuration, of
+    // which only the newest record counts.
+    let is_complete =
+        span.topic == Topic::Config || epoch::epoch(span.start) == epoch::epoch(span.end());
+    if exceeds_limits || !is_complete || !shared.tail.is_designated_reader() {
         return;
     }
     send(shared, span);
@@ -41,83 +42,84 @@
 /// Sends records to all other entries.
 pub fn send(shared: &Shared, span: &RecordSpan) {
     let members = shared.peers.members();
-    for news in divide(span) {
+    for message in split(span) {
         for address in members.iter().filter_map(|member| member.address) {
-            shared.post.send(Payload::News(news.clone()), address);
+            shared.post.send(Payload::LogRecords(message.clone()), address);
         }
     }
 }
 
-/// Puts records into datagrams, each of which begins where the one before it ends.
-fn divide(span: &RecordSpan) -> Vec<News> {
-    let mut all: Vec<News> = Vec::new();
-    let (mut before, mut left) = (span.start, 0);
+/// Splits records into messages, each of which starts at the end of the previous one.
+fn split(span: &RecordSpan) -> Vec<LogRecords> {
+    let mut messages: Vec<LogRecords> = Vec::new();
+    let (mut start, mut remaining) = (span.start, 0);
     for record in &span.records {
-        match all.last_mut().filter(|_| size(record) <= left) {
-            Some(news) => news.records.push(row(record)),
+        match messages.last_mut().filter(|_| size(record) <= remaining) {
+            Some(message) => message.records.push(encode(record)),
             None => {
-                let (topic, troubled) = (number(span.topic), span.log_degraded);
-                all.push(News { topic, before, records: vec![row(record)], troubled });
-                left = MAX_BYTES;
+                let (topic, log_degraded) = (topic_index(span.topic), span.log_degraded);
+                messages.push(LogRecords {
+                    topic,
+                    start,
+                    records: vec![encode(record)],
+                    log_degraded,
+                });
+                remaining = MAX_BYTES;
             }
         }
-        left = left.saturating_sub(size(record));
-        before = record.offset + 1;
+        remaining = remaining.saturating_sub(size(record));
+        start = record.offset + 1;
     }
-    all
+    messages
 }
 
 fn size(record: &Record) -> usize {
     record.key.len() + record.value.as_ref().map_or(0, Bytes::len)
 }
 
-fn row(record: &Record) -> Row {
+fn encode(record: &Record) -> LogRecord {
     let value = record.value.as_ref().map(|value| value.to_vec());
-    Row { offset: record.offset, key: record.key.to_string(), value }
+    LogRecord { offset: record.offset, key: record.key.to_string(), value }
 }
 
-fn number(topic: Topic) -> u32 {
+fn topic_index(topic: Topic) -> u32 {
     let topics = (0..).zip(TOPICS);
-    topics.into_iter().find(|(_, other)| *other == topic).map_or(u32::MAX, |(number, _)| number)
+    topics.into_iter().find(|(_, other)| *other == topic).map_or(u32::MAX, |(index, _)| index)
 }
 
-/// Asks an entry that has read more of the configuration for it.
+/// Requests the configuration from a peer that has read it further.
 ///
-/// The log may turn away some entries while it answers others, and a datagram with the record may be
-/// lost: such an entry would go on with the old configuration, and serve who has lost the right to it.
-pub fn ask(shared: &Shared, next: Offset) {
-    let Some(ahead) = shared.tail.ahead(Topic::Config, next) else { return };
+/// The log may refuse calls of some entries while it serves others, and the datagram with the
+/// record may be lost. Such an entry would keep the old configuration and serve customers whose
+/// access was revoked.
+pub fn request_config(shared: &Shared, next: Offset) {
+    let Some(ahead) = shared.tail.peer_ahead(Topic::Config, next) else { return };
     let members = shared.peers.members();
     let member = members.iter().find(|member| member.key == ahead);
     if let Some(address) = member.and_then(|member| member.address) {
-        shared.post.send(Payload::Lack(Lack { next }), address);
+        shared.post.send(Payload::ConfigRequest(ConfigRequest { next }), address);
     }
 }
 
-/// Answers an entry that can't read the configuration.
-pub fn answer(shared: &Shared, lack: Lack, from: SocketAddr) {
-    let record = shared.tail.config(lack.next).filter(|record| size(record) <= MAX_RECORD);
+/// Sends the configuration to an entry that can't read the log.
+pub fn send_config(shared: &Shared, request: ConfigRequest, to: SocketAddr) {
+    let record = shared.tail.config(request.next).filter(|record| size(record) <= MAX_RECORD);
     let Some(record) = record else { return };
-    let (topic, before) = (number(Topic::Config), lack.next);
-    let news = News { topic, before, troubled: true, records: vec![row(&record)] };
-    shared.post.send(Payload::News(news), from);
+    let (topic, start) = (topic_index(Topic::Config), request.next);
+    let message = LogRecords { topic, start, log_degraded: true, records: vec![encode(&record)] };
+    shared.post.send(Payload::LogRecords(message), to);
 }
 
-/// Takes in what another entry has read.
-pub fn take(shared: &Shared, news: News) {
-    let topic = usize::try_from(news.topic).ok().and_then(|at| TOPICS.get(at));
-    // A stream that a newer version follows.
+/// Queues records that another entry has forwarded.
+pub fn receive(shared: &Shared, message: LogRecords) {
+    let topic = usize::try_from(message.topic).ok().and_then(|index| TOPICS.get(index));
+    // A stream that only a newer version follows.
     let Some(topic) = topic.copied() else { return };
-    let records = news.records.into_iter().map(|row| Record {
-        offset: row.offset,
-        key: row.key.into(),
-        value: row.value.map(Bytes::from),
-    });
-    let (before, troubled) = (news.before, news.troubled);
-    shared.tail.offer(RecordSpan {
-        topic,
-        start: before,
-        log_degraded: troubled,
-        records: records.collect(),
+    let records = message.records.into_iter().map(|record| Record {
+        offset: record.offset,
+        key: record.key.into(),
+        value: record.value.map(Bytes::from),
     });
+    let (start, log_degraded) = (message.start, message.log_degraded);
+    shared.tail.offer(RecordSpan { topic, start, log_degraded, records: records.collect() });
 }
--- a/crates/direct/src/exchange/coordination.rs
+++ b/crates/direct/src/exchange/coordination.rs
@@ -35,8 +35,8 @@
         Payload::PermitRequest(request) => Some(permits::decide(shared, request)),
         Payload::Response(_)
         | Payload::Report(_)
-        | Payload::News(_)
-        | Payload::Lack(_)
+        | Payload::LogRecords(_)
+        | Payload::ConfigRequest(_)
         | Payload::UsageCounts(_)
         | Payload::BillingProgress(_)
         | Payload::TargetLimit(_) => None,
--- a/crates/direct/src/exchange/coordination/decode.rs
+++ b/crates/direct/src/exchange/coordination/decode.rs
@@ -24,7 +24,7 @@
         .filter(|(candidate, _)| candidate.has_room(request.max_fill_percent))
         .map(|(_, engine)| engine);
     let permit = best.map(|engine| {
-        let requester = request.requester.unwrap_or_default().ask();
+        let requester = request.requester.unwrap_or_default().to_pacing();
         shared.coordinator.permits.acquire(engine.key, || share(shared, group), requester, now)
     });
     let decision = match (best, permit) {
@@ -48,7 +48,7 @@
 ) -> Option<(DecodeCandidate, &'a Arc<Target>)> {
     let warming_up = shared.coordinator.is_warming_up(group.key, now);
     let objective = Duration::from_millis(request.objective_ms.into());
-    let priority = request.requester.unwrap_or_default().ask().priority;
+    let priority = request.requester.unwrap_or_default().to_pacing().priority;
     let able = group.engines.iter().filter(|engine| {
         let allowed = !request.avoid.contains(&short_hash(engine.key));
         let able = engine.stage() != Some(Stage::Prefill) && !engine.is_changing_stage(now);
--- a/crates/direct/src/exchange/coordination/permits.rs
+++ b/crates/direct/src/exchange/coordination/permits.rs
@@ -35,7 +35,7 @@
             let groups = shared.groups(&target.service);
             let group = groups::group_of(&groups, &target);
             let share = || group.map_or(STANDBY_SHARE, |group| self::share(shared, group));
-            let requester = request.requester.unwrap_or_default().ask();
+            let requester = request.requester.unwrap_or_default().to_pacing();
             shared.coordinator.permits.acquire(target.key, share, requester, now)
         }
         None => Err(UNLISTED_RETRY_AFTER),
--- a/crates/direct/src/exchange/coordination/prefill.rs
+++ b/crates/direct/src/exchange/coordination/prefill.rs
@@ -106,7 +106,7 @@
     }
 
     fn requester(&self) -> pacing::Requester {
-        self.request.requester.unwrap_or_default().ask()
+        self.request.requester.unwrap_or_default().to_pacing()
     }
 
     fn candidates(&self) -> Candidates {
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -111,8 +111,8 @@
 
     /// Takes in records that another entry passed on.
     fn take_span(&mut self, span: tail::RecordSpan) {
-        (self.next, self.news) = (self.next.max(span.after()), self.news.max(span.after()));
-        self.shared.tail.knows(Topic::Notices, self.news);
+        (self.next, self.news) = (self.next.max(span.end()), self.news.max(span.end()));
+        self.shared.tail.record_forwarded(Topic::Notices, self.news);
         let (mut read, now) = (self.bulletin.borrow().clone(), Instant::now());
         for record in span.records {
             let told = self.take(&record.value.unwrap_or_default(), now, Age::New);
@@ -160,7 +160,7 @@
             let (topic, troubled) = (Topic::Notices, false);
             let span =
                 tail::RecordSpan { topic, start: before, log_degraded: troubled, records: changed };
-            broadcast::pass_on(&self.shared, &span);
+            broadcast::forward(&self.shared, &span);
         }
         self.shared.note_read(Topic::Notices, self.news);
         self.heard.retain(|_, heard| now.duration_since(heard.at) < SILENCE);
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -139,7 +139,7 @@
                 self.shared.metrics.stream_read(self.topic.name(), reason.name())
             }
             FollowStep::Apply(told) => {
-                self.next = Some(told.after().max(next));
+                self.next = Some(told.end().max(next));
                 return Ok(Reading::Told(told));
             }
         }
@@ -167,7 +167,7 @@
         }
         let now = Instant::now();
         if let (Topic::Config, Some(next)) = (self.topic, self.next) {
-            broadcast::ask(&self.shared, next);
+            broadcast::request_config(&self.shared, next);
         }
         self.trouble = Some(now);
         if self.lost.is_none() {
@@ -204,7 +204,7 @@
                 log_degraded: troubled,
                 records: ours.clone(),
             };
-            broadcast::pass_on(&shared, &span);
+            broadcast::forward(&shared, &span);
         }
         let ours = ours.into_iter().rev();
         for record in ours {
@@ -213,7 +213,7 @@
             match decode.table(&value) {
                 Ok(table) => {
                     if apply(&shared, table, record.offset) {
-                        shared.tail.keep_config(record);
+                        shared.tail.store_config(record);
                     }
                 }
                 Err(detail) => {
@@ -236,7 +236,7 @@
     if own {
         shared.note_read(topic, news);
     } else {
-        shared.tail.knows(topic, news);
+        shared.tail.record_forwarded(topic, news);
     }
 }
 
@@ -298,7 +298,7 @@
         };
         if own {
             let (topic, troubled) = (Topic::Targets, disturbed);
-            broadcast::pass_on(
+            broadcast::forward(
                 &shared,
                 &RecordSpan { topic, start: before, log_degraded: troubled, records: changed },
             );
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -1,16 +1,19 @@
-//! What the entries tell each other of the work they have at engines, by datagrams.
+//! Exchanges the state of entries, mainly their work at engines, by datagram.
 //!
-//! **Load pattern.** Several entries send prompts to the same engines, and a burst asks for several
-//! times what they can read. **Without it** an entry knows only its own work: each of five leaves
-//! an engine a fifth of its time, so prompts are refused while engines are free, and one large
-//! prompt from each makes the queue five times too long, so those that were let in are late.
-//! **How.** Each entry sends its whole state, at most every few milliseconds and only when it
-//! changed, so a lost datagram matters until the next. Coordinators know what is booked, see
-//! [`crate::cluster::coordinator`]; this is what entries go by when none answers, and those that have just come
-//! to coordinate. What a silent entry said expires, and its part is then guessed from the others'.
+//! **Load pattern.** Several entries send prompts to the same engines, and a burst requests several
+//! times what they can prefill. **Without it** an entry knows only its own work. Each of five
+//! entries would limit itself to a fifth of an engine's time, so that prompts are refused while
+//! engines are idle; and one large prompt from each makes the queue five times too long, so that
+//! accepted prompts miss their objective. **How.** Each entry sends its whole state, at most every
+//! few milliseconds and early only when it has changed, so that a lost datagram matters only until
+//! the next one. Coordinators know all reservations, see [`crate::cluster::coordinator`]; the state
+//! sent here is used by entries that no coordinator responds to, and by new coordinators. The state
+//! of a silent entry expires, and its work is then estimated from that of the others.
 
 use crate::cluster::clock;
-use crate::cluster::entry_state::{EntryState, Read, TargetStanding, UNIT, Work, short_hash};
+use crate::cluster::entry_state::{
+    EntryState, StreamRead, TOKENS_PER_UNIT, UnavailableTarget, Work, short_hash,
+};
 use crate::cluster::messages::{Decision, Envelope, Granted, Payload, Report, Response};
 use crate::cluster::tail::{self, ReadStatus};
 use crate::exchange::broadcast;
@@ -25,177 +28,187 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, timeout};
 
-/// Between two datagrams at least, with up to [`PEERS`] peers; it grows by the square of their number,
-/// so that what an entry sends does not grow with it, up to [`MAX_DATAGRAM_INTERVAL`]. An engine reads a prompt
-/// in 10 to 30 ms, and each datagram takes processor time of all who get it.
-const PAUSE: Duration = Duration::from_millis(5);
+/// The shortest interval between datagrams with up to [`PEERS_PER_STEP`] peers. It grows with the
+/// square of their number, up to [`MAX_DATAGRAM_INTERVAL`], so that the traffic of an entry doesn't
+/// grow with it. An engine prefills a prompt in 10 to 30 ms, and each datagram costs processor time
+/// at all recipients.
+const MIN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Peers for which one [`PAUSE`] is enough.
-const PEERS: u32 = 4;
+/// The number of peers up to which [`MIN_INTERVAL`] applies, and by which it grows.
+const PEERS_PER_STEP: u32 = 4;
 
-/// Between two datagrams at most, so that silence means something.
-const ALIVE: Duration = Duration::from_millis(250);
+/// The longest wait for a change before a datagram is sent, so that a peer's silence is detected.
+const KEEPALIVE: Duration = Duration::from_millis(250);
 
-/// The largest datagram that is read, in bytes: the largest that there can be.
+/// The size of the receive buffer in bytes: no datagram can be larger.
 const MAX_DATAGRAM: usize = 64 * 1024;
 
-/// Tells the other entries of this one's work for as long as the process lives.
+/// Sends this entry's state to the others for the lifetime of the process.
 pub async fn publish(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let entry = shared.key();
-    let run = u64::from(std::process::id()) ^ policy::hash(&format!("{:?}", Instant::now()));
+    let incarnation =
+        u64::from(std::process::id()) ^ policy::hash(&format!("{:?}", Instant::now()));
     let mut sequence = 0;
     loop {
         // Ends early when something has changed.
-        let _ = timeout(ALIVE, shared.workload.changed()).await;
+        let _ = timeout(KEEPALIVE, shared.workload.changed()).await;
         sequence += 1;
-        let addresses = shared.peers.turn(shared.tail.reads_for_all(), Instant::now());
+        let addresses = shared.peers.recipients(shared.tail.is_designated_reader(), Instant::now());
         let (work, reads, loads) = (Some(work(&shared)), reads(&shared), shared.loads.snapshot());
         let clock = clock::time_of_day();
-        let standings = shared.workload.availability.snapshot(Instant::now());
-        let standings = standings.into_iter().map(standing).collect();
-        let state = EntryState { entry, run, sequence, work, reads, loads, clock, standings };
+        let unavailable = shared.workload.availability.snapshot(Instant::now());
+        let unavailable = unavailable.into_iter().map(encode_unavailable).collect();
+        let state =
+            EntryState { entry, incarnation, sequence, work, reads, loads, clock, unavailable };
         let datagram = Bytes::from(state.encode_to_vec());
         for address in &addresses {
             if let Err(error) = socket.send_to(&datagram, address).await {
-                log::debug!(target: "peers", address:% = address, error:% = error; "not sent");
+                log::debug!(target: "peers", address:% = address, error:% = error;
+                    "state not sent");
             }
         }
         let peers = u32::try_from(addresses.len()).unwrap_or(u32::MAX);
-        let few = peers.div_ceil(PEERS).max(1);
-        let pause = (PAUSE * few * few).min(MAX_DATAGRAM_INTERVAL);
-        tokio::time::sleep(pause.max(shared.settings.datagram_interval(datagram.len(), peers)))
+        let steps = peers.div_ceil(PEERS_PER_STEP).max(1);
+        let interval = (MIN_INTERVAL * steps * steps).min(MAX_DATAGRAM_INTERVAL);
+        tokio::time::sleep(interval.max(shared.settings.datagram_interval(datagram.len(), peers)))
             .await;
     }
 }
 
-/// How far this entry has read the log.
-fn reads(shared: &Shared) -> Vec<Read> {
+/// Returns how far this entry has read the log.
+fn reads(shared: &Shared) -> Vec<StreamRead> {
     let topics = (0..).zip(tail::TOPICS);
-    let seen = shared.tail.read_statuses(Instant::now());
-    let reads = seen.into_iter().filter_map(|seen| {
-        let (topic, _) = topics.clone().find(|(_, topic)| *topic == seen.topic)?;
-        let age_ms = u32::try_from(seen.age.as_millis()).unwrap_or(u32::MAX);
-        Some(Read { topic, news: seen.change_end, age_ms })
+    let statuses = shared.tail.read_statuses(Instant::now());
+    let reads = statuses.into_iter().filter_map(|status| {
+        let (topic, _) = topics.clone().find(|(_, topic)| *topic == status.topic)?;
+        let age_ms = u32::try_from(status.age.as_millis()).unwrap_or(u32::MAX);
+        Some(StreamRead { topic, change_end: status.change_end, age_ms })
     });
     reads.collect()
 }
 
-/// Takes in how far another entry has read the log.
-fn take_reads(shared: &Shared, entry: u64, reads: &[Read], now: Instant) {
+/// Applies how far another entry has read the log.
+fn apply_reads(shared: &Shared, entry: u64, reads: &[StreamRead], now: Instant) {
     for read in reads {
-        let topic = usize::try_from(read.topic).ok().and_then(|at| tail::TOPICS.get(at));
-        // A stream that a newer version follows.
+        let topic = usize::try_from(read.topic).ok().and_then(|index| tail::TOPICS.get(index));
+        // A stream that only a newer version follows.
         let Some(topic) = topic.copied() else { continue };
         let age = Duration::from_millis(read.age_ms.into());
-        shared.observe_epoch(plat::epoch::epoch(read.news), "peer");
-        shared.tail.observe(entry, ReadStatus { topic, change_end: read.news, age }, now);
+        shared.observe_epoch(plat::epoch::epoch(read.change_end), "peer");
+        shared.tail.observe(entry, ReadStatus { topic, change_end: read.change_end, age }, now);
     }
 }
 
-/// This entry's work at all engines where it has any.
+/// Returns this entry's work at all engines where it has any.
 fn work(shared: &Shared) -> Work {
     let mut work = Work::default();
     for row in shared.workload.snapshot() {
         work.engines.push(short_hash(row.engine));
-        work.reading.push(u32::try_from(row.prefill_tokens.div_ceil(UNIT)).unwrap_or(u32::MAX));
+        work.prefill_units
+            .push(u32::try_from(row.prefill_tokens.div_ceil(TOKENS_PER_UNIT)).unwrap_or(u32::MAX));
         work.streams.push(row.streams);
     }
     work
 }
 
-/// Hears the other entries for as long as the process lives.
+/// Receives the datagrams of other entries for the lifetime of the process.
 pub async fn receive(shared: Arc<Shared>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                log::debug!(target: "peers", error:% = error; "not received");
-                tokio::time::sleep(PAUSE).await;
+                log::debug!(target: "peers", error:% = error; "datagram not received");
+                tokio::time::sleep(MIN_INTERVAL).await;
                 continue;
             }
         };
         if !shared.peers.is_known(from.ip()) {
             continue;
         }
-        if let Err(error) = take(&shared, &buffer[..length], from) {
+        if let Err(error) = handle_datagram(&shared, &buffer[..length], from) {
             log::warn!(target: "peers", from:% = from, error:% = error; "not readable");
         }
     }
 }
 
-fn take(shared: &Shared, datagram: &[u8], from: SocketAddr) -> Result<(), prost::DecodeError> {
+fn handle_datagram(
+    shared: &Shared,
+    datagram: &[u8],
+    from: SocketAddr,
+) -> Result<(), prost::DecodeError> {
     match Envelope::decode(datagram)?.payload {
-        Some(word) => take_word(shared, word, from),
-        None => take_state(shared, EntryState::decode(datagram)?),
+        Some(payload) => handle_message(shared, payload, from),
+        None => apply_state(shared, EntryState::decode(datagram)?),
     }
     Ok(())
 }
 
-fn take_state(shared: &Shared, mut state: EntryState) {
+fn apply_state(shared: &Shared, mut state: EntryState) {
     let (entry, reads, now) = (state.entry, std::mem::take(&mut state.reads), Instant::now());
-    let standings = std::mem::take(&mut state.standings);
+    let unavailable = std::mem::take(&mut state.unavailable);
     shared.usage.clock.observe(entry, state.clock);
     if shared.peers.observe(state, &shared.loads, now) {
-        take_reads(shared, entry, &reads, now);
-        take_standings(shared, &standings, now);
+        apply_reads(shared, entry, &reads, now);
+        apply_unavailable(shared, &unavailable, now);
     }
 }
 
-fn standing(Unavailable { target, reason }: Unavailable) -> TargetStanding {
+fn encode_unavailable(Unavailable { target, reason }: Unavailable) -> UnavailableTarget {
     match reason {
-        Reason::Leaving => TargetStanding { target, leaves: true, pause_ms: 0 },
+        Reason::Leaving => UnavailableTarget { target, leaving: true, pause_ms: 0 },
         Reason::Paused(span) => {
             let pause_ms = u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
-            TargetStanding { target, leaves: false, pause_ms }
+            UnavailableTarget { target, leaving: false, pause_ms }
         }
     }
 }
 
-/// The longest that an entry goes by another's pause without hearing of it again.
-const LONGEST_GOSSIPED_PAUSE: Duration = Duration::from_secs(2);
+/// The longest time for which a pause reported by a peer applies, unless it is reported again.
+const MAX_REPORTED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Takes in what targets said to another entry. Those that leave get nothing new here either. Those that pause
-/// for that entry may take this one's requests: others go first.
-fn take_standings(shared: &Shared, standings: &[TargetStanding], now: Instant) {
-    for standing in standings {
-        if standing.leaves {
-            shared.workload.availability.record_leaving(standing.target, now);
+/// Applies what targets signalled to another entry. Leaving targets get no new work from this entry
+/// either. Targets that pause for the other entry may still accept this one's requests, so they are
+/// only ranked behind others.
+fn apply_unavailable(shared: &Shared, targets: &[UnavailableTarget], now: Instant) {
+    for row in targets {
+        if row.leaving {
+            shared.workload.availability.record_leaving(row.target, now);
         }
-        let pause = Duration::from_millis(standing.pause_ms.into()).min(LONGEST_GOSSIPED_PAUSE);
-        if let Some(target) = shared.fleet().by_key(standing.target).filter(|_| !pause.is_zero()) {
+        let pause = Duration::from_millis(row.pause_ms.into()).min(MAX_REPORTED_PAUSE);
+        if let Some(target) = shared.fleet().by_key(row.target).filter(|_| !pause.is_zero()) {
             target.note_pause_elsewhere(now + pause);
         }
     }
 }
 
-fn take_word(shared: &Shared, word: Payload, from: SocketAddr) {
-    match word {
+fn handle_message(shared: &Shared, payload: Payload, from: SocketAddr) {
+    match payload {
         Payload::PrefillRequest(_) | Payload::DecodeRequest(_) | Payload::PermitRequest(_) => {
-            if let Some(answer) = coordination::respond(shared, &word) {
-                shared.post.send(Payload::Response(answer), from);
+            if let Some(response) = coordination::respond(shared, &payload) {
+                shared.post.send(Payload::Response(response), from);
             }
         }
-        Payload::Response(answer) => {
-            if let Err(answer) = shared.post.deliver(answer) {
-                give_back(shared, &answer, from);
+        Payload::Response(response) => {
+            if let Err(response) = shared.post.deliver(response) {
+                release_unused(shared, &response, from);
             }
         }
         Payload::Report(report) => coordination::apply_report(shared, &report),
         Payload::TargetLimit(limit) => coordination::observe_limit(shared, &limit),
-        Payload::News(news) => broadcast::take(shared, news),
-        Payload::Lack(lack) => broadcast::answer(shared, lack, from),
-        Payload::UsageCounts(used) => shared.usage.observe(used),
-        Payload::BillingProgress(billed) => {
-            shared.usage.observe_billing(billed, clock::since_boot())
+        Payload::LogRecords(message) => broadcast::receive(shared, message),
+        Payload::ConfigRequest(request) => broadcast::send_config(shared, request, from),
+        Payload::UsageCounts(usage) => shared.usage.observe(usage),
+        Payload::BillingProgress(progress) => {
+            shared.usage.observe_billing(progress, clock::since_boot())
         }
     }
 }
 
-/// Ends a booking that was granted too late for anybody to use it.
-fn give_back(shared: &Shared, answer: &Response, from: SocketAddr) {
-    let Some(Decision::Granted(granted)) = answer.decision else { return };
+/// Releases a reservation whose grant arrived after its requester had stopped waiting.
+fn release_unused(shared: &Shared, response: &Response, from: SocketAddr) {
+    let Some(Decision::Granted(granted)) = response.decision else { return };
     let Granted { engine, .. } = granted;
-    let report = Report { reservation: answer.reservation, engine, ..Report::default() };
+    let report = Report { reservation: response.reservation, engine, ..Report::default() };
     shared.post.send(Payload::Report(report), from);
 }
