--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -1,8 +1,8 @@
-//! What entries tell each other through one stream of the log: that they live, which engines are
-//! about to change, which requests crash targets.
+//! The stream of the log that entries share: their heartbeats, announced stage changes of engines,
+//! and requests suspected of crashing targets.
 //!
-//! Nothing here is asked for a request. Each entry writes every few seconds and reads every
-//! second, and what it has read stays valid while the log is away.
+//! No request waits for this stream. Each entry writes to it every few seconds and reads it every
+//! second, and what an entry has read stays valid while the log is unavailable.
 
 mod reader;
 
@@ -19,67 +19,70 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The stream.
+/// The name of the stream.
 pub const STREAM: &str = "lapismast.entries";
 
-/// How often an entry tells that it lives. The number of entries changes a few times a day, and
-/// each record is a paid call.
-const HEARTBEAT: Duration = Duration::from_secs(5);
+/// The interval between heartbeats. The number of entries changes a few times a day, and each
+/// record is a paid call.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// After this time without a heartbeat an entry counts as gone: one may be lost, and an entry that
-/// leaves reading to others reads each ten seconds.
-const SILENCE: Duration = Duration::from_secs(21);
+/// After this time without a heartbeat an entry counts as gone: one heartbeat may be lost, and an
+/// entry that is no designated reader may read only every ten seconds.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(21);
 
-/// Reads are at least this far apart; announcements are made two seconds ahead.
-const PACE: Duration = Duration::from_millis(1_000);
+/// The shortest interval between reads; announcements are made two seconds ahead.
+const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a read waits for news. With [`PACE`] and the time until others hear of it this stays under
-/// the age at which they no longer rely on it.
-const WAIT: Duration = Duration::from_millis(300);
+/// How long a read waits for new records. The sum of this, [`READ_INTERVAL`] and the time until
+/// peers are informed stays below the age at which they no longer rely on a read.
+const READ_WAIT: Duration = Duration::from_millis(300);
 
-/// Records read at once at most.
-const MAX_READ: usize = 512;
+/// The maximum number of records per read.
+const MAX_RECORDS: usize = 512;
 
-/// How often suspicions are written: within the seconds in which a request comes again.
-const SUSPICIONS: Duration = Duration::from_millis(500);
+/// The interval at which suspected requests are published: shorter than the seconds after which a
+/// request is retried.
+const SUSPECTS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Suspicions written at once at most: what ran on one engine when it crashed.
-const MAX_SUSPICIONS: usize = 64;
+/// The maximum number of suspected requests per record: those that ran on one engine when it
+/// crashed.
+const MAX_SUSPECTS: usize = 64;
 
-/// What was read so far.
+/// The state of the cluster as far as the stream was read.
 #[derive(Debug, Clone, Default)]
 pub struct StreamView {
-    /// Where the next record will stand; none before the first read.
+    /// The offset of the next record; none before the first read.
     pub end: Option<Offset>,
-    /// When the last plan was read; before one is, when the stream was first read: older plans may
-    /// have expired from it.
+    /// When the last plan was read. If there was none, when the stream was first read, because
+    /// older plans may have expired from it.
     pub last_plan_at: Option<Instant>,
-    /// Whether a plan was read.
+    /// Whether any plan was read.
     pub has_plan: bool,
-    /// Since when every plan was read: a stream that is read for the first time, or from which
-    /// records expired unread, may have held others.
+    /// The time since which no plan was missed: there may have been plans before the first read,
+    /// and among records that expired unread.
     pub complete_since: Option<Instant>,
-    /// Engines that plans of the last [`REMEMBERED`] named.
-    pub planned_engines: Vec<Named>,
-    /// The names of the entries that live, in order.
+    /// Engines named by plans that were read within the last [`PLAN_RETENTION`].
+    pub planned_engines: Vec<PlannedEngine>,
+    /// The names of the live entries, sorted.
     pub entries: Vec<CompactString>,
 }
 
-/// An engine that a plan named.
+/// An engine named by a plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Named {
+pub struct PlannedEngine {
     /// The engine.
     pub engine: TargetId,
-    /// The entry that planned.
+    /// The entry that made the plan.
     pub planner: CompactString,
     /// When the plan was read.
     pub read_at: Instant,
 }
 
-/// For how long it is remembered which engines a plan named: longer than anybody may order them.
-const REMEMBERED: Duration = Duration::from_secs(15);
+/// For how long the engines named by a plan are tracked: longer than its planner may send orders to
+/// them.
+const PLAN_RETENTION: Duration = Duration::from_secs(15);
 
-/// Tells the others that this entry lives, and that it stops.
+/// Publishes heartbeats, and when the process stops, that this entry is leaving.
 pub async fn publish_heartbeats(
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
@@ -90,25 +93,26 @@
     loop {
         let leaving = stop.is_cancelled();
         let (name, address) = (shared.settings.name.to_string(), address.to_string());
-        let link = shared.settings.link.bytes_per_second;
-        write(&*log, Kind::Heartbeat(Heartbeat { name, leaving, address, link_rate: link })).await;
+        let link_rate = shared.settings.link.bytes_per_second;
+        write(&*log, Kind::Heartbeat(Heartbeat { name, leaving, address, link_rate })).await;
         if leaving {
             return;
         }
         tokio::select! {
-            () = tokio::time::sleep(HEARTBEAT) => {}
-            // What was written lately is lost: who starts now would take itself for alone.
+            () = tokio::time::sleep(HEARTBEAT_INTERVAL) => {}
+            // The restored log lacks recent heartbeats: an entry that starts now would see no
+            // others.
             () = shared.tail.wait_for_restore(&mut epoch) => {}
             () = stop.cancelled() => {}
         }
     }
 }
 
-/// Tells the others of requests that were running when a target crashed.
+/// Publishes requests that were running when a target crashed.
 pub async fn publish_suspects(shared: Arc<Shared>, log: Arc<dyn KeyedLog>) {
     loop {
-        tokio::time::sleep(SUSPICIONS).await;
-        let requests = shared.suspects.take_unpublished(MAX_SUSPICIONS);
+        tokio::time::sleep(SUSPECTS_INTERVAL).await;
+        let requests = shared.suspects.take_unpublished(MAX_SUSPECTS);
         if !requests.is_empty() {
             let entry = shared.settings.name.to_string();
             write(&*log, Kind::SuspectedRequests(SuspectedRequests { entry, requests })).await;
@@ -123,39 +127,35 @@
 }
 
 impl StreamView {
-    /// Takes in a plan that was read.
-    fn note(&mut self, plan: &Plan, now: Instant) {
+    /// Records a plan that was read.
+    fn record_plan(&mut self, plan: &Plan, now: Instant) {
         (self.last_plan_at, self.has_plan) = (Some(now), true);
-        let holder = CompactString::from(plan.planner.as_str());
-        let named = plan.changes().map(|(engine, _)| Named {
+        let planner = CompactString::from(plan.planner.as_str());
+        let engines = plan.changes().map(|(engine, _)| PlannedEngine {
             engine,
-            planner: holder.clone(),
+            planner: planner.clone(),
             read_at: now,
         });
-        self.planned_engines.extend(named);
+        self.planned_engines.extend(engines);
     }
 
-    /// Notes that records may have expired unread.
-    fn forget(&mut self) {
+    /// Records that plans may have expired unread.
+    fn mark_incomplete(&mut self) {
         (self.last_plan_at, self.complete_since) = (None, None);
     }
 }
 
-/// Reads what the entries tell for as long as the process lives.
-pub async fn follow(
-    shared: Arc<Shared>,
-    log: Arc<dyn KeyedLog>,
-    bulletin: watch::Sender<StreamView>,
-) {
-    Reader::new(shared, log, bulletin).run().await;
+/// Follows the stream for the lifetime of the process.
+pub async fn follow(shared: Arc<Shared>, log: Arc<dyn KeyedLog>, view: watch::Sender<StreamView>) {
+    Reader::new(shared, log, view).run().await;
 }
 
-/// Keeps new work away from engines that are about to change within `left`.
-pub fn expect_changes(shared: &Shared, plan: &Plan, left: Duration) {
+/// Keeps new work away from the engines of a plan, which are expected to change within `remaining`.
+pub fn expect_changes(shared: &Shared, plan: &Plan, remaining: Duration) {
     log::info!(target: "stages", holder = plan.planner.as_str(), readers:? = plan.to_prefill,
         writers:? = plan.to_decode; "changes announced");
     let (mut fleet, now) = (shared.fleet(), Instant::now());
     for (id, stage) in plan.changes() {
-        fleet.expect_stage_change(id, stage, now, now + left);
+        fleet.expect_stage_change(id, stage, now, now + remaining);
     }
 }
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -1,6 +1,9 @@
-//! Reads what the entries tell, and folds it into a [`StreamView`].
+//! Reads the entries' stream and folds its records into a [`StreamView`].
 
-use super::{MAX_READ, PACE, REMEMBERED, SILENCE, STREAM, StreamView, WAIT, expect_changes};
+use super::{
+    HEARTBEAT_TIMEOUT, MAX_RECORDS, PLAN_RETENTION, READ_INTERVAL, READ_WAIT, STREAM, StreamView,
+    expect_changes,
+};
 use crate::cluster::groups::Member;
 use crate::cluster::tail::{self, FollowStep, Topic};
 use crate::exchange::broadcast;
@@ -17,47 +20,47 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout};
 
-/// Follows the stream.
+/// The task that follows the stream.
 pub(super) struct Reader {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    bulletin: watch::Sender<StreamView>,
-    /// Where it goes on.
+    view: watch::Sender<StreamView>,
+    /// The offset of the next record to read.
     next: Offset,
     /// The offset after the last record that changed something.
-    news: Offset,
-    heard: HashMap<CompactString, Heard>,
+    change_end: Offset,
+    entries: HashMap<CompactString, LiveEntry>,
     reread: Reread,
-    /// When it is tried again, unless others have read the stream: the last call failed.
-    again: Option<Instant>,
+    /// After a failed call, when to retry although no peer has read the stream.
+    retry_at: Option<Instant>,
 }
 
-/// An entry that lives.
+/// An entry whose heartbeats arrive.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
-    at: Instant,
+struct LiveEntry {
+    heartbeat_at: Instant,
     address: SocketAddr,
-    /// The rate of its VM's link in bytes a second.
-    link: f64,
+    /// The rate of its VM's link in bytes per second.
+    link_rate: f64,
 }
 
-/// What of the stream may have been read before, since the log has come back older.
+/// The records that may have been read before, after the log was restored from an older copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Reread {
-    /// Nothing.
+    /// None.
     Nothing,
-    /// All that it holds when it is next read.
-    WhatItHolds,
+    /// All that the stream holds at the next read.
+    UpToEnd,
     /// All before this offset.
     Before(Offset),
 }
 
 impl Reread {
-    /// The offset before which all may have been read, if the stream now ends at `end`.
+    /// Returns the offset before which records may have been read, in a stream that ends at `end`.
     fn before(self, end: Offset) -> Offset {
         match self {
             Self::Nothing => 0,
-            Self::WhatItHolds => end,
+            Self::UpToEnd => end,
             Self::Before(offset) => offset,
         }
     }
@@ -67,211 +70,222 @@
     pub(super) fn new(
         shared: Arc<Shared>,
         log: Arc<dyn KeyedLog>,
-        bulletin: watch::Sender<StreamView>,
+        view: watch::Sender<StreamView>,
     ) -> Self {
-        let (heard, reread) = (HashMap::new(), Reread::Nothing);
-        Self { shared, log, bulletin, next: 0, news: 0, heard, reread, again: None }
+        let (entries, reread) = (HashMap::new(), Reread::Nothing);
+        Self { shared, log, view, next: 0, change_end: 0, entries, reread, retry_at: None }
     }
 
     pub(super) async fn run(mut self) {
         loop {
-            if let Some(span) = self.turn().await {
-                self.take_span(span);
+            if let Some(span) = self.forwarded_span().await {
+                self.apply_span(span);
                 continue;
             }
-            match self.log.read(STREAM, self.next, MAX_READ, WAIT).await {
-                Ok(batch) => self.take_batch(batch),
+            match self.log.read(STREAM, self.next, MAX_RECORDS, READ_WAIT).await {
+                Ok(batch) => self.apply_batch(batch),
                 Err(plat::Error::Gone { oldest, .. }) => self.restart(oldest),
                 Err(error) => {
-                    // What was heard stays: while the log is away nobody can be heard.
-                    self.again = Some(Instant::now() + self.shared.log_retry_delay());
-                    log::debug!(target: "bulletin", error:% = error; "notices not read");
+                    // Entries stay live: while the log is unavailable no heartbeat can arrive.
+                    self.retry_at = Some(Instant::now() + self.shared.log_retry_delay());
+                    log::debug!(target: "bulletin", error:% = error; "entry stream not read");
                 }
             }
-            // Ends early when a plan was refused because the stream went on.
-            let _ = timeout(PACE, self.shared.notices.notified()).await;
+            // Ends early when a plan was refused because the stream had grown.
+            let _ = timeout(READ_INTERVAL, self.shared.notices.notified()).await;
         }
     }
 
-    /// Waits until the stream is to be read, or another entry passes on what it has read.
-    async fn turn(&self) -> Option<tail::RecordSpan> {
-        // Nobody can pass on what stands before.
-        self.bulletin.borrow().end?;
+    /// Waits until this entry should read the stream, or a peer forwards its next records.
+    async fn forwarded_span(&self) -> Option<tail::RecordSpan> {
+        // Peers can't forward the records before the first read.
+        self.view.borrow().end?;
         tokio::select! {
-            turn = self.shared.tail.next_step(Topic::Notices, self.next, self.again) => match turn {
-                FollowStep::Read(reason) => {
-                    self.shared.metrics.stream_read(Topic::Notices.name(), reason.name());
-                    None
-                }
-                FollowStep::Apply(span) => Some(span),
-            },
+            step = self.shared.tail.next_step(Topic::Notices, self.next, self.retry_at) =>
+                match step {
+                    FollowStep::Read(reason) => {
+                        self.shared.metrics.stream_read(Topic::Notices.name(), reason.name());
+                        None
+                    }
+                    FollowStep::Apply(span) => Some(span),
+                },
             () = self.shared.notices.notified() => None,
         }
     }
 
-    /// Takes in records that another entry passed on.
-    fn take_span(&mut self, span: tail::RecordSpan) {
-        (self.next, self.news) = (self.next.max(span.end()), self.news.max(span.end()));
-        self.shared.tail.record_forwarded(Topic::Notices, self.news);
-        let (mut read, now) = (self.bulletin.borrow().clone(), Instant::now());
+    /// Applies records that a peer forwarded.
+    fn apply_span(&mut self, span: tail::RecordSpan) {
+        (self.next, self.change_end) = (self.next.max(span.end()), self.change_end.max(span.end()));
+        self.shared.tail.record_forwarded(Topic::Notices, self.change_end);
+        let (mut view, now) = (self.view.borrow().clone(), Instant::now());
         for record in span.records {
-            let told = self.take(&record.value.unwrap_or_default(), now, Age::New);
-            if let Told::Plan(plan) = told {
-                read.note(&plan, now);
+            let effect = self.apply_record(&record.value.unwrap_or_default(), now, Age::New);
+            if let Effect::Plan(plan) = effect {
+                view.record_plan(&plan, now);
             }
         }
-        self.publish(read);
+        self.publish(view);
     }
 
-    /// Takes in records that were read.
-    fn take_batch(&mut self, batch: Batch) {
-        self.again = None;
+    /// Applies records that were read from the log.
+    fn apply_batch(&mut self, batch: Batch) {
+        self.retry_at = None;
         self.shared.observe_epoch(epoch::epoch(batch.end), "log");
-        let (now, before) = (Instant::now(), self.news);
-        let mut read = self.bulletin.borrow().clone();
-        let is_first = read.end.is_none();
-        read.last_plan_at.get_or_insert(now);
-        read.complete_since.get_or_insert(now);
-        read.planned_engines.retain(|named| now.duration_since(named.read_at) < REMEMBERED);
-        let known = self.reread.before(batch.end);
+        let (now, start) = (Instant::now(), self.change_end);
+        let mut view = self.view.borrow().clone();
+        let is_first = view.end.is_none();
+        view.last_plan_at.get_or_insert(now);
+        view.complete_since.get_or_insert(now);
+        view.planned_engines.retain(|planned| now.duration_since(planned.read_at) < PLAN_RETENTION);
+        let reread_end = self.reread.before(batch.end);
         self.next = self.next.max(batch.oldest);
-        let (again, new): (Vec<_>, Vec<_>) =
-            batch.entries.into_iter().partition(|entry| entry.offset < known);
-        for entry in again {
+        let (reread, new): (Vec<_>, Vec<_>) =
+            batch.entries.into_iter().partition(|entry| entry.offset < reread_end);
+        for entry in reread {
             self.next = entry.offset + 1;
-            note_again(&entry, &mut read, now);
+            apply_reread(&entry, &mut view, now);
         }
         let mut changed = Vec::new();
         for entry in new {
             self.next = entry.offset + 1;
-            // What a process reads first may be minutes old.
-            let age = if is_first { Age::AsTold } else { Age::New };
-            let told = self.take(&entry.bytes, now, age);
-            if told != Told::Nothing {
-                self.news = self.next;
+            // The records of a process's first read may be minutes old.
+            let age = if is_first { Age::FromRecord } else { Age::New };
+            let effect = self.apply_record(&entry.bytes, now, age);
+            if effect != Effect::Nothing {
+                self.change_end = self.next;
                 changed.push(record(entry));
             }
-            if let Told::Plan(plan) = told {
-                read.note(&plan, now);
+            if let Effect::Plan(plan) = effect {
+                view.record_plan(&plan, now);
             }
         }
-        self.end_reread(known);
+        self.update_reread(reread_end);
         if !is_first {
-            let (topic, troubled) = (Topic::Notices, false);
-            let span =
-                tail::RecordSpan { topic, start: before, log_degraded: troubled, records: changed };
+            let (topic, log_degraded) = (Topic::Notices, false);
+            let span = tail::RecordSpan { topic, start, log_degraded, records: changed };
             broadcast::forward(&self.shared, &span);
         }
-        self.shared.note_read(Topic::Notices, self.news);
-        self.heard.retain(|_, heard| now.duration_since(heard.at) < SILENCE);
-        self.publish(read);
+        self.shared.note_read(Topic::Notices, self.change_end);
+        self.entries.retain(|_, entry| now.duration_since(entry.heartbeat_at) < HEARTBEAT_TIMEOUT);
+        self.publish(view);
     }
 
-    /// Notes whether all before `known` was read again.
-    fn end_reread(&mut self, known: Offset) {
+    /// Ends the reread once all records before `end` have been read again.
+    fn update_reread(&mut self, end: Offset) {
         if self.reread == Reread::Nothing {
             return;
         }
-        if self.next < known {
-            self.reread = Reread::Before(known);
+        if self.next < end {
+            self.reread = Reread::Before(end);
             return;
         }
         self.reread = Reread::Nothing;
-        // The others have to read it as well, though nothing may have changed.
-        self.news = self.news.max(self.next);
+        // Peers have to read the restored stream as well, even if no record changed anything.
+        self.change_end = self.change_end.max(self.next);
     }
 
-    /// Goes on with the oldest record: those before have expired, or the log has come back older.
+    /// Continues at the oldest record: those before have expired, or the log was restored from an
+    /// older copy.
     fn restart(&mut self, oldest: Offset) {
         if epoch::epoch(oldest) > epoch::epoch(self.next) {
             log::warn!(target: "store", stream = STREAM, epoch = epoch::epoch(oldest),
                 read = epoch::place(self.next); "stream is read anew");
-            self.reread = Reread::WhatItHolds;
+            self.reread = Reread::UpToEnd;
         }
         self.next = oldest;
-        // A plan may have stood in what is gone: as after a start, nobody else's engines are ordered
-        // until its lease would have run out.
-        self.bulletin.send_modify(|read| read.forget());
+        // The lost records may have held a plan. As after a start, this entry orders no engine that
+        // another one may have planned for until the lease of such a plan would have expired.
+        self.view.send_modify(|view| view.mark_incomplete());
     }
 
-    fn publish(&self, mut read: StreamView) {
-        read.entries = publish(&self.shared, &self.heard);
-        read.end = Some(self.next);
-        self.bulletin.send_replace(read);
+    fn publish(&self, mut view: StreamView) {
+        view.entries = set_entries(&self.shared, &self.entries);
+        view.end = Some(self.next);
+        self.view.send_replace(view);
     }
 }
 
-/// Takes in a record that may have been read before. Of these only plans matter, and only that they were
-/// made: entries were heard, engines changed and suspicions counted then, and are not once more.
-fn note_again(entry: &Entry, read: &mut StreamView, now: Instant) {
+/// Applies a record that may have been read before. Only the existence of plans is recorded:
+/// heartbeats, stage changes and suspected requests were applied then, and must not be applied
+/// twice.
+fn apply_reread(entry: &Entry, view: &mut StreamView, now: Instant) {
     if let Ok(Notice { kind: Some(Kind::Plan(plan)) }) = Notice::decode(entry.bytes.clone()) {
-        read.note(&plan, now);
+        view.record_plan(&plan, now);
     }
 }
 
-/// A record of this stream, which has no keys.
+/// Converts an entry of this stream, which has no keys.
 fn record(entry: Entry) -> Record {
     Record { offset: entry.offset, key: CompactString::default(), value: Some(entry.bytes) }
 }
 
-/// What a record told.
+/// The effect of a record.
 #[derive(Debug, Clone, PartialEq)]
-enum Told {
-    /// Nothing that was not known.
+enum Effect {
+    /// It changed nothing.
     Nothing,
-    /// Something that others should read.
-    News,
-    /// A plan.
+    /// It changed something, so that peers should read it.
+    Change,
+    /// It holds a plan.
     Plan(Plan),
 }
 
 impl Reader {
-    /// Takes in one record.
-    fn take(&mut self, record: &[u8], now: Instant, age: Age) -> Told {
-        let (shared, heard) = (&*self.shared, &mut self.heard);
+    /// Applies one record.
+    fn apply_record(&mut self, record: &[u8], now: Instant, age: Age) -> Effect {
+        let (shared, entries) = (&*self.shared, &mut self.entries);
         let notice = match Notice::decode(record) {
             Ok(notice) => notice,
             Err(error) => {
                 log::warn!(target: "bulletin", error:% = error; "notice not readable, left out");
-                return Told::Nothing;
+                return Effect::Nothing;
             }
         };
         match notice.kind {
             Some(Kind::Heartbeat(Heartbeat { name, leaving: true, .. })) => {
-                if heard.remove(name.as_str()).is_some() { Told::News } else { Told::Nothing }
+                if entries.remove(name.as_str()).is_some() {
+                    Effect::Change
+                } else {
+                    Effect::Nothing
+                }
             }
-            Some(Kind::Heartbeat(heartbeat)) => hear(heard, heartbeat, now),
+            Some(Kind::Heartbeat(heartbeat)) => apply_heartbeat(entries, heartbeat, now),
             Some(Kind::Plan(plan)) => {
                 if plan.planner != shared.settings.name {
-                    expect_changes(shared, &plan, left(shared, &plan, age));
+                    expect_changes(shared, &plan, remaining(shared, &plan, age));
                 }
-                Told::Plan(plan)
+                Effect::Plan(plan)
             }
             Some(Kind::SuspectedRequests(SuspectedRequests { entry, requests })) => {
                 if entry != shared.settings.name {
                     shared.suspects.observe_crashes(&requests);
                 }
-                Told::News
+                Effect::Change
             }
-            // A kind that a newer version writes.
-            None => Told::Nothing,
+            // A kind of a newer version.
+            None => Effect::Nothing,
         }
     }
 }
 
-fn hear(heard: &mut HashMap<CompactString, Heard>, heartbeat: Heartbeat, now: Instant) -> Told {
-    let Heartbeat { name, address, link_rate: link, .. } = heartbeat;
+fn apply_heartbeat(
+    entries: &mut HashMap<CompactString, LiveEntry>,
+    heartbeat: Heartbeat,
+    now: Instant,
+) -> Effect {
+    let Heartbeat { name, address, link_rate, .. } = heartbeat;
     let name = CompactString::from(name);
     match address.parse() {
         Ok(address) => {
-            let before = heard.insert(name, Heard { at: now, address, link });
-            let known = before.is_some_and(|before| before.address == address);
-            if known { Told::Nothing } else { Told::News }
+            let previous =
+                entries.insert(name, LiveEntry { heartbeat_at: now, address, link_rate });
+            let known = previous.is_some_and(|previous| previous.address == address);
+            if known { Effect::Nothing } else { Effect::Change }
         }
         Err(error) => {
             log::warn!(target: "bulletin", name = name.as_str(), error:% = error;
                 "heartbeat without an address, left out");
-            Told::Nothing
+            Effect::Nothing
         }
     }
 }
@@ -281,44 +295,45 @@
 enum Age {
     /// It was just written.
     New,
-    /// As it tells itself.
-    AsTold,
+    /// By the time in the record itself.
+    FromRecord,
 }
 
-/// For how long changes that were planned are still waited for.
-fn left(shared: &Shared, plan: &Plan, age: Age) -> Duration {
+/// Returns for how long the changes of a plan are still expected.
+fn remaining(shared: &Shared, plan: &Plan, age: Age) -> Duration {
     let age = match age {
         Age::New => Some(Duration::ZERO),
-        Age::AsTold => plan.age(shared.usage.clock.now()),
+        Age::FromRecord => plan.age(shared.usage.clock.now()),
     };
     age.map_or(Duration::ZERO, |age| STAGE_CHANGE_TIMEOUT.saturating_sub(age))
 }
 
-fn publish(shared: &Shared, heard: &HashMap<CompactString, Heard>) -> Vec<CompactString> {
-    let mut entries: Vec<_> = heard.keys().cloned().collect();
-    if !heard.contains_key(&shared.settings.name) {
-        entries.push(shared.settings.name.clone());
+/// Applies the set of live entries to the shared state. Returns their names, sorted.
+fn set_entries(shared: &Shared, entries: &HashMap<CompactString, LiveEntry>) -> Vec<CompactString> {
+    let mut names: Vec<_> = entries.keys().cloned().collect();
+    if !entries.contains_key(&shared.settings.name) {
+        names.push(shared.settings.name.clone());
     }
-    entries.sort();
-    shared.peers.set_members(members(shared, heard));
-    let count = u32::try_from(entries.len()).unwrap_or(u32::MAX);
+    names.sort();
+    shared.peers.set_members(members(shared, entries));
+    let count = u32::try_from(names.len()).unwrap_or(u32::MAX);
     if count != shared.entries() {
         log::info!(target: "bulletin", entries = count, before = shared.entries();
             "entries changed");
     }
     shared.set_entries(count);
-    shared.tail.set_entries(&shared.settings.name, &entries);
-    entries
+    shared.tail.set_entries(&shared.settings.name, &names);
+    names
 }
 
-/// The entries that live, with this one as it knows itself.
-fn members(shared: &Shared, heard: &HashMap<CompactString, Heard>) -> Vec<Member> {
-    let others = heard.iter().filter(|(name, _)| **name != shared.settings.name);
-    let others = others.map(|(name, heard)| Member {
+/// Returns the live entries. This one is described by its own settings instead of its heartbeats.
+fn members(shared: &Shared, entries: &HashMap<CompactString, LiveEntry>) -> Vec<Member> {
+    let peers = entries.iter().filter(|(name, _)| **name != shared.settings.name);
+    let peers = peers.map(|(name, entry)| Member {
         key: policy::hash(name),
-        address: Some(heard.address),
-        link_rate: heard.link,
+        address: Some(entry.address),
+        link_rate: entry.link_rate,
     });
-    let (key, link) = (shared.key(), shared.settings.link.bytes_per_second);
-    others.chain([Member { key, address: None, link_rate: link }]).collect()
+    let (key, link_rate) = (shared.key(), shared.settings.link.bytes_per_second);
+    peers.chain([Member { key, address: None, link_rate }]).collect()
 }
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -1,7 +1,8 @@
 //! Follows the configuration and the list of targets in the log.
 //!
-//! Each is one stream: its newest records are read once, then its changes. When the history is
-//! gone, the newest records are read again. What is known stays in force while the log is away.
+//! Each of them is one stream. The newest record of each key is read once, then the changes. When
+//! the changes have expired, the newest records are read again. What was read stays in force while
+//! the log is unavailable.
 
 use crate::cluster::tail::{FollowStep, RecordSpan, Topic};
 use crate::codec::TargetId;
@@ -19,7 +20,7 @@
 /// The result of decoding a record.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A record that can't be read.
+/// A record that can't be decoded.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{stream}, key {key}: {detail}")]
 pub struct Error {
@@ -27,72 +28,77 @@
     pub stream: StreamName,
     /// The record's key.
     pub key: CompactString,
-    /// What is wrong, with the path of the field.
+    /// The cause, with the path of the field.
     pub detail: CompactString,
 }
 
-/// Reads the records that operators and targets write.
+/// Decodes the records that operators and targets write.
 pub trait Decode: Send + Sync {
-    /// The stream with the configuration, and its key there.
+    /// Returns the stream of the configuration, and the key of the configuration in it.
     fn config_stream(&self) -> (&'static str, &'static str);
 
-    /// The stream in which targets tell of themselves, each under its id.
+    /// Returns the stream in which targets register, each under its id.
     fn target_stream(&self) -> &'static str;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     fn table(&self, value: &[u8]) -> Result<Table, CompactString>;
 
-    /// Reads what a target tells.
+    /// Decodes the record of a target.
     fn target_record(&self, value: &[u8]) -> Result<TargetRecord, CompactString>;
 }
 
-/// How long a read of the configuration waits for news. A silent connection shows after this time
-/// and [`PATIENCE`], which together are under the two seconds that a change may take.
-const CONFIG_WAIT: Duration = Duration::from_millis(800);
+/// How long a read of the configuration waits for new records. A connection without a response is
+/// detected after this time plus the timeout of a call, which together are below the two seconds in
+/// which a change has to take effect.
+const CONFIG_READ_WAIT: Duration = Duration::from_millis(800);
 
-/// How long a read of the list of targets waits for news. With [`TARGET_PACE`] and the time until
-/// others hear of it this stays under the age at which they no longer rely on it: with a second, all
-/// entries read for themselves whenever no target wrote for that long, a third of all calls.
-const TARGET_WAIT: Duration = Duration::from_millis(500);
+/// How long a read of the list of targets waits for new records. The sum of this,
+/// [`TARGETS_READ_INTERVAL`] and the time until peers are informed stays below the age at which
+/// they no longer rely on a read. With a wait of one second, all entries read for themselves
+/// whenever no target wrote for that long, which made a third of all calls.
+const TARGETS_READ_WAIT: Duration = Duration::from_millis(500);
 
-/// Reads of the list of targets are this far apart: each target renews its record every second or
-/// so, and each read is paid for. It is a quarter of the time in which a target that leaves has to
-/// be left alone.
-const TARGET_PACE: Duration = Duration::from_millis(450);
+/// The interval between reads of the list of targets: each target renews its record about every
+/// second, and each read is paid for. It is a quarter of the time within which a leaving target
+/// must get no more requests.
+const TARGETS_READ_INTERVAL: Duration = Duration::from_millis(450);
 
-/// The pause after a call that failed; it doubles up to [`MOST_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(100);
+/// The backoff after a failed call; it doubles up to [`MAX_BACKOFF`].
+const MIN_BACKOFF: Duration = Duration::from_millis(100);
 
-/// The longest pause: shorter than the time in which a change has to be in force.
-const MOST_PAUSE: Duration = Duration::from_millis(500);
+/// The longest backoff: shorter than the time in which a change has to take effect.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// For how long after a failed call the log counts as troubled.
-const TROUBLE: Duration = Duration::from_secs(3);
+/// For how long after a failed call the log counts as degraded.
+const DEGRADED_SPAN: Duration = Duration::from_secs(3);
 
-/// One reading of a stream.
-enum Reading {
-    /// All keys.
+/// The result of reading a stream.
+enum Update {
+    /// The newest records of all keys, and the end of the stream.
     All(Vec<Record>, Offset),
-    /// What changed.
+    /// New records, read from the log.
     Changes(Vec<Record>),
-    /// What changed something, passed on by another entry.
-    Told(RecordSpan),
+    /// New records, forwarded by a peer.
+    Forwarded(RecordSpan),
 }
 
-/// A stream that is followed.
+/// A stream that this entry follows.
 struct Stream {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
     topic: Topic,
     name: &'static str,
-    wait: Duration,
+    read_wait: Duration,
+    /// The offset of the next record to read; none if the newest records have to be read.
     next: Option<Offset>,
-    pause: Duration,
-    trouble: Option<Instant>,
-    lost: Option<Instant>,
-    /// When it is tried again, unless others have read it: the last call failed.
-    again: Option<Instant>,
-    /// Whether the log has come back older since the stream was last read.
+    backoff: Duration,
+    /// When a call last failed.
+    failed_at: Option<Instant>,
+    /// Since when the log has been unavailable.
+    lost_at: Option<Instant>,
+    /// After a failed call, when to retry although no peer has read the stream.
+    retry_at: Option<Instant>,
+    /// Whether the log was restored from an older copy since the stream was last read.
     restored: bool,
 }
 
@@ -102,58 +108,70 @@
         log: Arc<dyn KeyedLog>,
         topic: Topic,
         name: &'static str,
-        wait: Duration,
+        read_wait: Duration,
     ) -> Self {
-        let (next, pause, trouble, lost, again) = (None, PAUSE, None, None, None);
+        let (next, backoff, failed_at, lost_at, retry_at) = (None, MIN_BACKOFF, None, None, None);
         let restored = false;
-        Self { shared, log, topic, name, wait, next, pause, trouble, lost, again, restored }
+        Self {
+            shared,
+            log,
+            topic,
+            name,
+            read_wait,
+            next,
+            backoff,
+            failed_at,
+            lost_at,
+            retry_at,
+            restored,
+        }
     }
 
-    /// The next reading, however long it takes.
-    async fn read(&mut self) -> Reading {
+    /// Returns the next update, retrying until a call succeeds.
+    async fn read(&mut self) -> Update {
         loop {
             match self.try_read().await {
-                // What another entry passes on says nothing of whether this one reaches the log.
-                Ok(reading @ Reading::Told(_)) => return reading,
-                Ok(reading) => {
-                    (self.pause, self.again) = (PAUSE, None);
-                    if let Some(lost) = self.lost.take() {
-                        let lost_ms = lost.elapsed().as_millis();
+                // A forwarded update doesn't show whether this entry reaches the log.
+                Ok(update @ Update::Forwarded(_)) => return update,
+                Ok(update) => {
+                    (self.backoff, self.retry_at) = (MIN_BACKOFF, None);
+                    if let Some(lost_at) = self.lost_at.take() {
+                        let lost_ms = lost_at.elapsed().as_millis();
                         log::info!(target: "store", stream = self.name, lost_ms; "log regained");
                     }
-                    return reading;
+                    return update;
                 }
-                Err(error) => self.fail(error).await,
+                Err(error) => self.handle_failure(error).await,
             }
         }
     }
 
-    async fn try_read(&mut self) -> plat::Result<Reading> {
+    async fn try_read(&mut self) -> plat::Result<Update> {
         let Some(next) = self.next else {
             let newest = self.log.newest(self.name).await?;
-            self.read_up_to(newest.end);
-            return Ok(Reading::All(newest.records, newest.end));
+            self.advance(newest.end);
+            return Ok(Update::All(newest.records, newest.end));
         };
-        match self.shared.tail.next_step(self.topic, next, self.again).await {
+        match self.shared.tail.next_step(self.topic, next, self.retry_at).await {
             FollowStep::Read(reason) => {
                 self.shared.metrics.stream_read(self.topic.name(), reason.name())
             }
-            FollowStep::Apply(told) => {
-                self.next = Some(told.end().max(next));
-                return Ok(Reading::Told(told));
+            FollowStep::Apply(span) => {
+                self.next = Some(span.end().max(next));
+                return Ok(Update::Forwarded(span));
             }
         }
-        let (records, end) = self.log.changes(self.name, next, self.wait).await?;
-        self.read_up_to(end.max(next));
-        Ok(Reading::Changes(records))
+        let (records, end) = self.log.changes(self.name, next, self.read_wait).await?;
+        self.advance(end.max(next));
+        Ok(Update::Changes(records))
     }
 
-    fn read_up_to(&mut self, end: Offset) {
+    fn advance(&mut self, end: Offset) {
         self.shared.observe_epoch(epoch::epoch(end), "log");
         self.next = Some(end);
     }
 
-    async fn fail(&mut self, error: plat::Error) {
+    async fn handle_failure(&mut self, error: plat::Error) {
         if let plat::Error::Gone { oldest, .. } = error {
             let next = self.next.take().unwrap_or_default();
             if epoch::epoch(oldest) == epoch::epoch(next) {
@@ -169,46 +187,46 @@
         if let (Topic::Config, Some(next)) = (self.topic, self.next) {
             broadcast::request_config(&self.shared, next);
         }
-        self.trouble = Some(now);
-        if self.lost.is_none() {
-            self.lost = Some(now);
+        self.failed_at = Some(now);
+        if self.lost_at.is_none() {
+            self.lost_at = Some(now);
             log::warn!(target: "store", stream = self.name, error:% = error; "log lost");
         }
-        tokio::time::sleep(self.pause).await;
-        self.again = Some(now + self.shared.log_retry_delay());
-        self.pause = (self.pause * 2).min(MOST_PAUSE);
+        tokio::time::sleep(self.backoff).await;
+        self.retry_at = Some(now + self.shared.log_retry_delay());
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    fn is_troubled(&self, now: Instant) -> bool {
-        self.trouble.is_some_and(|at| now.duration_since(at) < TROUBLE)
+    fn is_degraded(&self, now: Instant) -> bool {
+        self.failed_at.is_some_and(|at| now.duration_since(at) < DEGRADED_SPAN)
     }
 }
 
-/// Keeps the configuration up to date.
+/// Keeps the configuration up to date for the lifetime of the process.
 pub async fn config(shared: Arc<Shared>, log: Arc<dyn KeyedLog>, decode: Arc<dyn Decode>) {
     let (name, key) = decode.config_stream();
-    let mut stream = Stream::new(shared.clone(), log, Topic::Config, name, CONFIG_WAIT);
-    let mut news = 0;
+    let mut stream = Stream::new(shared.clone(), log, Topic::Config, name, CONFIG_READ_WAIT);
+    let mut change_end = 0;
     loop {
         let (own, records, end) = match stream.read().await {
-            Reading::All(records, end) => (true, records, end),
-            Reading::Changes(records) => (true, records, 0),
-            Reading::Told(told) => (false, told.records, 0),
+            Update::All(records, end) => (true, records, end),
+            Update::Changes(records) => (true, records, 0),
+            Update::Forwarded(span) => (false, span.records, 0),
         };
-        let ours: Vec<_> = records.into_iter().filter(|record| record.key == key).collect();
+        let versions: Vec<_> = records.into_iter().filter(|record| record.key == key).collect();
         if own {
-            let troubled = stream.is_troubled(Instant::now());
+            let log_degraded = stream.is_degraded(Instant::now());
             let span = RecordSpan {
                 topic: Topic::Config,
-                start: news,
-                log_degraded: troubled,
-                records: ours.clone(),
+                start: change_end,
+                log_degraded,
+                records: versions.clone(),
             };
             broadcast::forward(&shared, &span);
         }
-        let ours = ours.into_iter().rev();
-        for record in ours {
-            news = news.max(record.offset + 1);
+        let versions = versions.into_iter().rev();
+        for record in versions {
+            change_end = change_end.max(record.offset + 1);
             let Some(value) = record.value.clone() else { continue };
             match decode.table(&value) {
                 Ok(table) => {
@@ -224,24 +242,26 @@
             }
         }
         if std::mem::take(&mut stream.restored) {
-            // The others have to read it as well, though nothing may have changed.
-            news = news.max(end);
+            // Peers have to read the restored stream as well, even if no record changed anything.
+            change_end = change_end.max(end);
         }
-        note(&shared, Topic::Config, news, own);
+        record_change(&shared, Topic::Config, change_end, own);
     }
 }
 
-/// Notes the offset after the last news: of a read of this entry's own, or as it was told.
-fn note(shared: &Shared, topic: Topic, news: Offset, own: bool) {
+/// Records the offset after the last change, found by a read of this entry's own or forwarded by a
+/// peer.
+fn record_change(shared: &Shared, topic: Topic, change_end: Offset, own: bool) {
     if own {
-        shared.note_read(topic, news);
+        shared.note_read(topic, change_end);
     } else {
-        shared.tail.record_forwarded(topic, news);
+        shared.tail.record_forwarded(topic, change_end);
     }
 }
 
-/// Puts a configuration in force unless a newer one is: versions never go back, whichever read
-/// ends last, or though the log has lost the newer. Returns whether it is in force.
+/// Puts a configuration in force unless a newer one is. Versions never decrease, whatever the order
+/// in which reads complete, and even if the log has lost the newer version. Returns whether the
+/// configuration is in force.
 fn apply(shared: &Shared, table: Table, offset: Offset) -> bool {
     let old = shared.table.borrow().as_ref().map(|table| table.version);
     if let Some(old) = old.filter(|old| *old >= table.version) {
@@ -254,100 +274,100 @@
     true
 }
 
-/// Keeps the list of targets up to date.
+/// Keeps the list of targets up to date for the lifetime of the process.
 pub async fn targets(shared: Arc<Shared>, log: Arc<dyn KeyedLog>, decode: Arc<dyn Decode>) {
     let name = decode.target_stream();
-    let mut stream = Stream::new(shared.clone(), log, Topic::Targets, name, TARGET_WAIT);
-    let mut unreadable = Unreadable::default();
+    let mut stream = Stream::new(shared.clone(), log, Topic::Targets, name, TARGETS_READ_WAIT);
+    let mut invalid = InvalidRecords::default();
     loop {
-        let reading = stream.read().await;
+        let update = stream.read().await;
         let now = Instant::now();
-        let told = match &reading {
-            Reading::Told(told) => Some(told.log_degraded),
-            Reading::All(..) | Reading::Changes(_) => None,
+        let forwarded = match &update {
+            Update::Forwarded(span) => Some(span.log_degraded),
+            Update::All(..) | Update::Changes(_) => None,
         };
-        let disturbed = stream.is_troubled(now) || told == Some(true);
-        let condition = match (std::mem::take(&mut stream.restored), disturbed) {
+        let degraded = stream.is_degraded(now) || forwarded == Some(true);
+        let log_state = match (std::mem::take(&mut stream.restored), degraded) {
             (true, _) => LogState::Restored,
             (false, true) => LogState::Degraded,
             (false, false) => LogState::Healthy,
         };
-        let before = shared.fleet().change_end();
-        let own = told.is_none();
-        let changed = match reading {
-            Reading::All(records, end) => {
-                let news = news(&*decode, records, &mut unreadable);
+        let start = shared.fleet().change_end();
+        let own = forwarded.is_none();
+        let changed = match update {
+            Update::All(records, end) => {
+                let updates = fleet_updates(&*decode, records, &mut invalid);
                 let mut fleet = shared.fleet();
-                fleet.replace(news, end, now, condition);
-                // A complete list has no changes that could be passed on.
+                fleet.replace(updates, end, now, log_state);
+                // A complete list has no changes to forward.
                 drop(fleet.take_changed());
                 Vec::new()
             }
-            Reading::Changes(records) | Reading::Told(RecordSpan { records, .. }) => {
-                let news = news(&*decode, records.clone(), &mut unreadable);
+            Update::Changes(records) | Update::Forwarded(RecordSpan { records, .. }) => {
+                let updates = fleet_updates(&*decode, records.clone(), &mut invalid);
                 let mut fleet = shared.fleet();
-                fleet.apply(news, now, condition);
+                fleet.apply(updates, now, log_state);
                 let changed = fleet.take_changed();
                 records.into_iter().filter(|record| changed.contains(&record.offset)).collect()
             }
         };
-        let (known, newest) = {
+        let (count, change_end) = {
             let fleet = shared.fleet();
             shared.metrics.forget_targets(|id| fleet.get(id).is_some());
             (fleet.len(), fleet.change_end())
         };
         if own {
-            let (topic, troubled) = (Topic::Targets, disturbed);
+            let (topic, log_degraded) = (Topic::Targets, degraded);
             broadcast::forward(
                 &shared,
-                &RecordSpan { topic, start: before, log_degraded: troubled, records: changed },
+                &RecordSpan { topic, start, log_degraded, records: changed },
             );
         }
-        note(&shared, Topic::Targets, newest, own);
-        shared.metrics.targets.set(i64::try_from(known).unwrap_or(i64::MAX));
+        record_change(&shared, Topic::Targets, change_end, own);
+        shared.metrics.targets.set(i64::try_from(count).unwrap_or(i64::MAX));
         if own {
-            tokio::time::sleep(TARGET_PACE).await;
+            tokio::time::sleep(TARGETS_READ_INTERVAL).await;
         }
     }
 }
 
-/// Records that could not be read, by key, with what was wrong: the same is told once, or a writer
-/// that repeats itself each second would fill the log.
+/// The cause for which the record of each key could not be decoded. The same cause is logged only
+/// once, because a writer may renew its record every second.
 #[derive(Default)]
-struct Unreadable(HashMap<CompactString, CompactString>);
+struct InvalidRecords(HashMap<CompactString, CompactString>);
 
-/// Keys that are remembered; after that all are told again.
-const MAX_UNREADABLE: usize = 1_024;
+/// The maximum number of tracked keys. On overflow all are dropped and logged again.
+const MAX_INVALID: usize = 1_024;
 
-impl Unreadable {
-    fn tell(&mut self, error: Error, offset: Offset) {
-        if self.0.len() >= MAX_UNREADABLE {
+impl InvalidRecords {
+    fn log(&mut self, error: Error, offset: Offset) {
+        if self.0.len() >= MAX_INVALID {
             self.0.clear();
         }
-        let before = self.0.insert(error.key.clone(), error.detail.clone());
-        if before.as_ref() != Some(&error.detail) {
+        let previous = self.0.insert(error.key.clone(), error.detail.clone());
+        if previous.as_ref() != Some(&error.detail) {
             log::warn!(target: "fleet", offset, error:% = error; "record not readable, left out");
         }
     }
 }
 
-fn news(
+fn fleet_updates(
     decode: &dyn Decode,
     records: Vec<Record>,
-    unreadable: &mut Unreadable,
+    invalid: &mut InvalidRecords,
 ) -> Vec<(Offset, FleetUpdate)> {
     let decoded = records.into_iter().map(|record| {
         let id: TargetId = record.key;
         let Some(value) = record.value else { return (record.offset, FleetUpdate::Removed(id)) };
-        let news = match decode.target_record(&value) {
-            Ok(sighting) => FleetUpdate::Registered(id, sighting),
+        let update = match decode.target_record(&value) {
+            Ok(target) => FleetUpdate::Registered(id, target),
             Err(detail) => {
                 let stream = decode.target_stream().into();
-                unreadable.tell(Error { stream, key: id.clone(), detail }, record.offset);
+                invalid.log(Error { stream, key: id.clone(), detail }, record.offset);
                 FleetUpdate::Unreadable(id)
             }
         };
-        (record.offset, news)
+        (record.offset, update)
     });
     decoded.collect()
 }
--- a/crates/direct/src/exchange/notice.rs
+++ b/crates/direct/src/exchange/notice.rs
@@ -9,18 +9,19 @@
 /// A record of the stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct Notice {
-    /// What it tells.
+    /// The content; none if it is of a newer version.
     #[prost(oneof = "Kind", tags = "1, 2, 3")]
     pub kind: Option<Kind>,
 }
 
-/// What a notice tells.
+/// The content of a notice.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Kind {
-    /// An entry lives, or stops.
+    /// An entry is alive or leaving.
     #[prost(message, tag = "1")]
     Heartbeat(Heartbeat),
-    /// An entry is about to order changes; the record's offset is the fence of its orders.
+    /// An entry is about to order stage changes; the record's offset is the fencing token of its
+    /// orders.
     #[prost(message, tag = "2")]
     Plan(Plan),
     /// Requests were running when a target crashed.
@@ -28,38 +29,37 @@
     SuspectedRequests(SuspectedRequests),
 }
 
-/// An entry tells that it lives.
+/// The heartbeat of an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct Heartbeat {
-    /// Its name.
+    /// The name of the entry.
     #[prost(string, tag = "1")]
     pub name: String,
-    /// Whether it stops.
+    /// Whether the entry is leaving because its process stops.
     #[prost(bool, tag = "2")]
     pub leaving: bool,
-    /// Where it hears the other entries: address and port.
+    /// Where it receives datagrams of other entries: address and port.
     #[prost(string, tag = "3")]
     pub address: String,
-    /// The rate of its VM's link in bytes a second, which tells how large the VM is; 0 from one that
-    /// does not say.
+    /// The rate of its VM's link in bytes per second, as a measure of the VM's size; 0 if unknown.
     #[prost(double, tag = "4")]
     pub link_rate: f64,
 }
 
-/// An entry announces changes of stage.
+/// The announcement of stage changes by an entry.
 #[derive(Clone, PartialEq, Message)]
 pub struct Plan {
-    /// Its name.
+    /// The name of the entry.
     #[prost(string, tag = "1")]
     pub planner: String,
-    /// Engines that are to read prompts.
+    /// Engines that are to prefill.
     #[prost(string, repeated, tag = "2")]
     pub to_prefill: Vec<String>,
-    /// Engines that are to write output.
+    /// Engines that are to decode.
     #[prost(string, repeated, tag = "3")]
     pub to_decode: Vec<String>,
-    /// When it was made, by the true time of day in microseconds since the start of 1970; 0 if it does
-    /// not say.
+    /// When the plan was made, by the cluster's time of day in microseconds since the start of
+    /// 1970; 0 if unknown.
     #[prost(fixed64, tag = "4")]
     pub created_us: u64,
 }
@@ -67,29 +67,29 @@
 /// Requests that were running when a target crashed.
 #[derive(Clone, PartialEq, Message)]
 pub struct SuspectedRequests {
-    /// The entry that saw it.
+    /// The entry that saw the crash.
     #[prost(string, tag = "1")]
     pub entry: String,
-    /// Their fingerprints.
+    /// The fingerprints of the requests.
     #[prost(fixed64, repeated, tag = "2")]
     pub requests: Vec<u64>,
 }
 
 impl Plan {
-    /// How old it is at this true time of day, if it says when it was made.
+    /// Returns the age of the plan at this time of day of the cluster, if known.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         (self.created_us != 0).then(|| now.saturating_sub(Duration::from_micros(self.created_us)))
     }
 
-    /// The engines that are to change, with their new stages.
+    /// Returns the engines that are to change, with their new stages.
     pub fn changes(&self) -> impl Iterator<Item = (TargetId, Stage)> + '_ {
-        let readers = self.to_prefill.iter().map(|id| (TargetId::from(id), Stage::Prefill));
-        let writers = self.to_decode.iter().map(|id| (TargetId::from(id), Stage::Decode));
-        readers.chain(writers)
+        let prefill = self.to_prefill.iter().map(|id| (TargetId::from(id), Stage::Prefill));
+        let decode = self.to_decode.iter().map(|id| (TargetId::from(id), Stage::Decode));
+        prefill.chain(decode)
     }
 }
 
-/// A notice as a record.
+/// Encodes a notice as a record.
 pub fn encode(kind: Kind) -> Bytes {
     Notice { kind: Some(kind) }.encode_to_vec().into()
 }
