--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -1,9 +1,9 @@
 //! Generations: the prompt is read by one engine, which hands its KV cache to another that writes.
 
 mod cache;
-mod read;
+mod decode_step;
+mod prefill_step;
 mod resume;
-mod write;
 
 use crate::codec::Prompt;
 use crate::config::route::Stage;
@@ -17,7 +17,7 @@
 use policy::Hash;
 use policy::decode::{self, DecodeCandidate};
 use policy::signals;
-use read::Read;
+use prefill_step::Read;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -37,9 +37,9 @@
     if let Some(back) = until_open(&job, &engines) {
         return job.refuse(&mut trace, Refusal::Limited, permits::come_back(&job, back));
     }
-    match read::run(&job, &prompt, &mut trace).await {
+    match prefill_step::run(&job, &prompt, &mut trace).await {
         Read::Refused(refusal, back) => job.refuse(&mut trace, refusal, back),
-        Read::Placed(place) => write::run(job, prompt, place, trace).await,
+        Read::Placed(place) => decode_step::run(job, prompt, place, trace).await,
     }
 }
 
--- a/crates/direct/src/request/generate/write.rs
+++ b/crates/direct/src/request/generate/decode_step.rs
@@ -1,6 +1,6 @@
 //! The second half of a generation: an engine writes the output, and it is passed on.
 
-use super::read::{Place, has_read};
+use super::prefill_step::{Place, has_read};
 use super::resume::Continuation;
 use super::writer;
 use crate::codec::{AttemptHead, Prompt, Step};
