--- a/crates/direct/src/request/attempts.rs
+++ b/crates/direct/src/request/attempts.rs
@@ -1,7 +1,7 @@
-//! The sendings of one request: which targets were tried, whether there may be another, and what
-//! the caller is told when none answered.
+//! The attempts of one request: which targets were tried, whether another attempt is allowed, and
+//! the response to the caller when none was answered.
 
-use crate::request::context::{Job, SHORTLY};
+use crate::request::context::{RequestContext, TARGET_RETRY_AFTER};
 use crate::request::permits;
 use crate::request::response::{Body, Failure, Refusal};
 use crate::request::trace::Trace;
@@ -11,48 +11,56 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Targets that can't be reached, of which nothing arrives, tried for one request.
-const UNREACHABLE: u32 = 3;
+/// Unreachable targets that may be tried for one request; nothing of it reaches them.
+const MAX_UNREACHABLE: u32 = 3;
 
-/// Targets that want no request now, tried for one request. Each may cost a question to its coordinator.
-const CLOSED: u32 = 3;
+/// Targets that currently accept no requests and may be tried for one request. Each may cost a
+/// request to its coordinator.
+const MAX_CLOSED: u32 = 3;
 
-/// The sendings so far.
+/// The attempts so far.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct Attempts {
     /// The targets, in order.
     pub targets: Vec<Arc<Target>>,
-    /// Those of them that the request reached.
+    /// How many of them the request reached.
     pub sent: u32,
     unreachable: u32,
     closed: u32,
-    maybe_run: bool,
+    may_have_run: bool,
 }
 
-impl Tries {
-    /// The next target, as `choose` finds it among those not tried, if there may be another.
-    pub fn next(
+impl Attempts {
+    /// The next target, as `choose` picks it among those not tried, if another attempt is allowed.
+    pub fn next_target(
         &mut self,
-        job: &Job,
+        request: &RequestContext,
         choose: impl FnOnce(&[Arc<Target>]) -> Option<Arc<Target>>,
     ) -> Option<Arc<Target>> {
-        let over = self.sent >= job.route.max_attempts.max(1) || self.unreachable >= UNREACHABLE;
-        let over = over || self.closed >= CLOSED;
-        if over || Instant::now() >= job.until {
+        let exhausted =
+            self.sent >= request.route.max_attempts.max(1) || self.unreachable >= MAX_UNREACHABLE;
+        let exhausted = exhausted || self.closed >= MAX_CLOSED;
+        if exhausted || Instant::now() >= request.deadline {
             return None;
         }
         let target = choose(&self.targets)?;
-        if self.sent > 0 && !job.shared.try_book_extra(&job.service.name) {
+        if self.sent > 0 && !request.shared.try_book_extra(&request.service.name) {
             return None;
         }
         self.targets.push(target.clone());
         Some(target)
     }
 
-    /// Takes in how a sending ended, and says whether another would be true to what is promised.
-    pub fn note(&mut self, job: &Job, target: &Arc<Target>, outcome: &Outcome) -> bool {
+    /// Records the outcome of an attempt and returns whether another one respects the route's retry
+    /// policy and what the caller was promised.
+    pub fn record(
+        &mut self,
+        request: &RequestContext,
+        target: &Arc<Target>,
+        outcome: &Outcome,
+    ) -> bool {
         if let Outcome::NotSent(detail) = outcome {
-            log::info!(target: "request", id = job.id(), target_id = target.id.as_str(),
+            log::info!(target: "request", id = request.attempt_id(), target_id = target.id.as_str(),
                 detail = detail.as_str(); "target not reached");
             self.unreachable += 1;
             return true;
@@ -65,37 +73,42 @@
         match outcome {
             Outcome::NotSent(_) | Outcome::NotRun(_) | Outcome::Closed(_) => true,
             Outcome::Answered(answered) => {
-                self.maybe_run = true;
-                answered.response.status().is_server_error() && job.may_repeat()
+                self.may_have_run = true;
+                answered.response.status().is_server_error() && request.may_retry()
             }
             Outcome::Unknown(_) => {
-                self.maybe_run = true;
-                job.suspect(target);
-                job.may_repeat()
+                self.may_have_run = true;
+                request.suspect_if_crashed(target);
+                request.may_retry()
             }
             Outcome::TimedOut => {
-                self.maybe_run = true;
+                self.may_have_run = true;
                 false
             }
         }
     }
 
-    /// Tells the caller that no target has answered, and whether the request may have run.
-    pub fn give_up(&self, job: &Job, trace: &mut Trace) -> Response<Body> {
-        trace.sendings += self.sent;
-        if self.maybe_run {
-            let late = Instant::now() >= job.until;
-            return job.fail(trace, if late { Failure::Late } else { Failure::Lost });
+    /// Responds to the caller that no target has answered, and whether the request may have run.
+    pub fn give_up(&self, request: &RequestContext, trace: &mut Trace) -> Response<Body> {
+        trace.attempts += self.sent;
+        if self.may_have_run {
+            let timed_out = Instant::now() >= request.deadline;
+            return request.fail(trace, if timed_out { Failure::TimedOut } else { Failure::Lost });
         }
-        let opening = permits::opening(job);
-        if let Some(soonest) = opening.soonest.filter(|_| self.sent == 0 || opening.all) {
-            return job.refuse(trace, Refusal::Limited, permits::come_back(job, soonest));
+        let reopening = permits::reopening(request);
+        if let Some(soonest) = reopening.soonest.filter(|_| self.sent == 0 || reopening.all_closed)
+        {
+            return request.refuse(
+                trace,
+                Refusal::RateLimited,
+                permits::retry_after(request, soonest),
+            );
         }
         let refusal = match (self.sent, self.unreachable) {
             (0, 0) => Refusal::NoTarget,
             (0, _) => Refusal::Unreachable,
             (..) => Refusal::TargetRefused,
         };
-        job.refuse(trace, refusal, SHORTLY)
+        request.refuse(trace, refusal, TARGET_RETRY_AFTER)
     }
 }
--- a/crates/direct/src/request/context.rs
+++ b/crates/direct/src/request/context.rs
@@ -1,4 +1,4 @@
-//! One request on its way: what all steps know of it.
+//! The context of one request, which all steps of serving it share.
 
 use crate::buffered_request::BufferedRequest;
 use crate::cluster::messages::Requester;
@@ -17,150 +17,169 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// One request on its way.
-pub struct Job {
-    /// What all requests share.
+/// One request that is being served.
+pub struct RequestContext {
+    /// The state of this entry.
     pub shared: Arc<Shared>,
-    /// The request.
-    pub content: BufferedRequest,
-    /// What its headers say.
-    pub ask: RequestHead,
-    /// Whose it is.
+    /// The request as received.
+    pub buffered: BufferedRequest,
+    /// Its decoded headers.
+    pub head: RequestHead,
+    /// Its caller, as authenticated.
     pub caller: Caller,
-    /// Its route.
+    /// The matched route.
     pub route: Arc<Route>,
-    /// The service that it was dealt to.
+    /// The service chosen among the route's weighted services.
     pub service: Arc<Service>,
-    /// When its target has to have answered.
-    pub until: Instant,
-    /// What it is known by, however often it is sent.
+    /// When its target must have responded.
+    pub deadline: Instant,
+    /// Identifies equal requests over all attempts.
     pub fingerprint: Fingerprint,
-    /// Whether it counts among what its customer used.
-    counted: AtomicBool,
+    /// Whether it has been counted in its customer's usage.
+    usage_counted: AtomicBool,
 }
 
-/// A target that is dark says nothing for longer than this many times what a first answer may take.
-/// One that is merely full says something each time that it ends a request of others.
-const SILENCE: u32 = 3;
+/// A target with work counts as unresponsive after this many times the objective without a
+/// response. A target that is merely full still responds whenever it ends a request, also of other
+/// entries.
+const UNRESPONSIVE_FACTOR: u32 = 3;
 
-/// The lowest urgency that engines know.
-const LEAST_URGENT: u8 = 9;
+/// The lowest priority that engines accept.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// When to come back after a target refused or could not be reached: by then others are chosen.
-pub const SHORTLY: Duration = Duration::from_millis(100);
+/// `Retry-After` once targets refused or could not be reached: by then, others are chosen.
+pub const TARGET_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-impl Job {
-    /// A request on one of the table's routes, dealt to a service; none if the table doesn't have that.
+impl RequestContext {
+    /// Creates the context of a request on one of the table's routes and picks a service; `None` if
+    /// the table lacks that service.
     pub fn new(
         shared: Arc<Shared>,
-        content: BufferedRequest,
-        ask: RequestHead,
+        buffered: BufferedRequest,
+        head: RequestHead,
         caller: Caller,
         route: Arc<Route>,
         table: &Table,
         arrived: Instant,
     ) -> Option<Self> {
         let service = table.service(route.pick_service(shared.random()))?.clone();
-        let patience = ask.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
-        let fingerprint = fingerprint(&content, caller.customer());
-        let until = arrived + patience;
-        let counted = AtomicBool::new(false);
-        Some(Self { shared, content, ask, caller, route, service, until, fingerprint, counted })
+        let timeout = head.deadline.map_or(route.timeout, |deadline| deadline.min(route.timeout));
+        let fingerprint = fingerprint(&buffered, caller.customer());
+        let deadline = arrived + timeout;
+        let usage_counted = AtomicBool::new(false);
+        Some(Self {
+            shared,
+            buffered,
+            head,
+            caller,
+            route,
+            service,
+            deadline,
+            fingerprint,
+            usage_counted,
+        })
     }
 
-    /// What a target is told if it is to do all of the request.
-    pub fn sending(&self, target: &Target) -> AttemptHead {
+    /// The head of an attempt in which `target` does all of the request.
+    pub fn attempt_head(&self, target: &Target) -> AttemptHead {
         AttemptHead {
-            attempt_id: self.ask.attempt_id.clone(),
+            attempt_id: self.head.attempt_id.clone(),
             target: target.id.clone(),
-            deadline: self.left(),
-            // Plain services know no urgency, and their requests are as they came.
-            priority: self.service.engine.as_ref().map(|_| self.rank().min(LEAST_URGENT)),
+            deadline: self.time_left(),
+            // Plain services have no priorities, and their requests are forwarded unchanged.
+            priority: self.service.engine.as_ref().map(|_| self.priority().min(LOWEST_PRIORITY)),
             caller: self.caller.clone(),
             ..AttemptHead::default()
         }
     }
 
-    /// Counts it among what its customer used, once however often it runs; it began to at `began`.
-    pub fn count_run(&self, began: Instant) {
+    /// Counts the request, which began to run at `began`, in its customer's usage: once, however
+    /// often it runs.
+    pub fn count_usage(&self, began: Instant) {
         let Some(customer) = self.caller.customer() else { return };
-        if !self.counted.swap(true, Ordering::Relaxed) {
+        if !self.usage_counted.swap(true, Ordering::Relaxed) {
             self.shared.usage.count(&customer.name, began.elapsed());
         }
     }
 
-    /// How urgent it is: as its customer is, or else as its route.
-    pub fn rank(&self) -> u8 {
+    /// Its priority: that of its customer, or else that of its route.
+    pub fn priority(&self) -> u8 {
         let own = self.caller.customer().and_then(|customer| customer.priority);
         own.unwrap_or(self.route.priority)
     }
 
-    /// Who asks coordinators for it.
-    pub fn asker(&self) -> Requester {
-        Requester { entry: self.shared.key(), priority: self.rank().into() }
+    /// The requester to name to coordinators.
+    pub fn requester(&self) -> Requester {
+        Requester { entry: self.shared.key(), priority: self.priority().into() }
     }
 
-    /// How long a target that works for others as well may say nothing before it counts as away.
-    pub fn patience(&self) -> Duration {
-        self.route.objective * SILENCE
+    /// How long a target that also serves others may send nothing before it counts as unresponsive.
+    pub fn unresponsive_after(&self) -> Duration {
+        self.route.objective * UNRESPONSIVE_FACTOR
     }
 
-    /// How long the target may still work.
-    pub fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    /// How long the target may still work on it.
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Until when the head of an answer is waited for.
-    pub fn last_word(&self) -> Instant {
-        self.until + crate::request::relay::LAST_WORD
+    /// Until when the head of a response is waited for.
+    pub fn response_deadline(&self) -> Instant {
+        self.deadline + crate::request::relay::RESPONSE_GRACE
     }
 
-    /// Whether the process ends before the request does: probably, or, once the balancer should
-    /// have noticed, possibly. Begun all the same, its answer would be cut; refused, another entry
-    /// serves it.
-    pub fn ends_too_late(&self) -> bool {
+    /// Whether the process is expected to stop before the request ends or, once the load balancer
+    /// should have noticed the stop, might do so. If it were started all the same, its response
+    /// would be cut; after a refusal, another entry serves it.
+    pub fn outlives_process(&self) -> bool {
         let Some(stop) = self.shared.stopping() else { return false };
         let now = Instant::now();
         if now >= stop.drain_at {
-            return self.last_word() > stop.deadline;
+            return self.response_deadline() > stop.deadline;
         }
         now + self.shared.durations.expected(&self.route.name) > stop.deadline
     }
 
-    /// Whether it may be sent again after a sending of which the outcome is unknown.
-    pub fn may_repeat(&self) -> bool {
+    /// Whether it may be sent again after an attempt whose outcome is unknown.
+    pub fn may_retry(&self) -> bool {
         match self.route.retry_policy {
             RetryPolicy::Idempotent | RetryPolicy::Resumable => true,
             RetryPolicy::Once => false,
         }
     }
 
-    /// Finds out whether a target that broke off has crashed, and if so suspects the request.
-    pub fn suspect(&self, target: &Arc<Target>) {
+    /// Checks in the background whether a target that broke the connection has crashed; if so,
+    /// records the request as a suspect.
+    pub fn suspect_if_crashed(&self, target: &Arc<Target>) {
         let (shared, target) = (self.shared.clone(), target.clone());
-        let (request, id) = (self.fingerprint, CompactString::from(self.id()));
+        let (fingerprint, id) = (self.fingerprint, CompactString::from(self.attempt_id()));
         tokio::spawn(async move {
             if target.check_listening().await {
                 return;
             }
-            let crashes = shared.suspects.record_crash(request);
+            let crashes = shared.suspects.record_crash(fingerprint);
             log::info!(target: "request", id = id.as_str(), target_id = target.id.as_str(),
                 crashes; "request suspected");
         });
     }
 
-    /// The caller's id of this sending.
-    pub fn id(&self) -> &str {
-        self.ask.attempt_id.as_deref().unwrap_or_default()
+    /// The caller's id of this attempt.
+    pub fn attempt_id(&self) -> &str {
+        self.head.attempt_id.as_deref().unwrap_or_default()
     }
 
-    /// Refuses it: it has not run.
-    pub fn refuse(&self, trace: &mut Trace, refusal: Refusal, back: Duration) -> Response<Body> {
+    /// Refuses the request, which has not run.
+    pub fn refuse(
+        &self,
+        trace: &mut Trace,
+        refusal: Refusal,
+        retry_after: Duration,
+    ) -> Response<Body> {
         trace.end(refusal.name());
-        response::refuse(refusal, back)
+        response::refuse(refusal, retry_after)
     }
 
-    /// Fails it: it may have run.
+    /// Fails the request, which may have run.
     pub fn fail(&self, trace: &mut Trace, failure: Failure) -> Response<Body> {
         trace.end(failure.name());
         response::fail(failure)
--- a/crates/direct/src/request/coordinator_client.rs
+++ b/crates/direct/src/request/coordinator_client.rs
@@ -1,79 +1,80 @@
-//! One question to those that coordinate a group.
+//! Requests to the coordinators of a group.
 //!
-//! **What can go wrong.** A coordinator is killed, frozen, slow, cut off or new. It then says nothing, or
-//! what it says comes late: after [`PATIENCE_PART`] of the objective the one that stands by is asked, and the
-//! silent one is passed over for [`SILENT`]. A grant that comes when nobody waits for it any more is given
-//! back, see [`crate::cluster::peers`].
+//! **What can go wrong.** A coordinator is killed, frozen, slow, cut off or new. It then sends no
+//! response, or a late one: after [`TIMEOUT_SHARE`] of the objective the standby coordinator is
+//! asked, and the unresponsive one is skipped for [`UNRESPONSIVE_FOR`]. A grant that arrives when
+//! nobody waits for it any more is released, see [`crate::cluster::peers`].
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
 use crate::cluster::messages::{Decision, Payload, Response};
 use crate::exchange::coordination;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::shared::Shared;
 use policy::reservations::ReservationId;
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// A coordinator that did not answer is passed over for this long: a frozen one comes back after
-/// seconds, and each question to it costs a caller the time that it is waited for.
-const SILENT: Duration = Duration::from_millis(500);
+/// A coordinator that did not respond is skipped for this long: a frozen one recovers after
+/// seconds, and each request to it costs a caller the time-out.
+const UNRESPONSIVE_FOR: Duration = Duration::from_millis(500);
 
-/// The part of an objective that a coordinator may take to answer. The way there and back takes a
-/// few milliseconds.
-const PATIENCE_PART: f64 = 0.1;
+/// The share of the objective that a coordinator may take to respond. The round trip takes a few
+/// milliseconds.
+const TIMEOUT_SHARE: f64 = 0.1;
 
-/// What it may take at least: a small VM answers within this time while it is busy.
-const LEAST_PATIENCE: Duration = Duration::from_millis(10);
+/// The shortest time-out: a small VM responds within this time while it is busy.
+const MIN_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// Asks those that coordinate a group, one after the other, until one answers whose grant is of use.
-/// Returns what it said, and who it was.
-pub async fn ask(
-    job: &Job,
+/// Asks the coordinators of a group, one after the other, until one sends a usable response.
+/// Returns the response and its sender.
+pub async fn call(
+    request: &RequestContext,
     group: &Group,
     objective: Duration,
-    make: impl Fn(ReservationId) -> Payload,
+    make_payload: impl Fn(ReservationId) -> Payload,
 ) -> Option<(Response, Member)> {
-    let post = &job.shared.post;
-    let patience = objective.mul_f64(PATIENCE_PART).max(LEAST_PATIENCE);
+    let socket = &request.shared.post;
+    let time_limit = objective.mul_f64(TIMEOUT_SHARE).max(MIN_TIMEOUT);
     for coordinator in &group.coordinators {
-        if post.is_unresponsive(coordinator.key, Instant::now()) {
+        if socket.is_unresponsive(coordinator.key, Instant::now()) {
             continue;
         }
-        let booking = post.unique_id();
-        if let Some(answer) =
-            answer(&job.shared, coordinator, booking, make(booking), patience).await
+        let id = socket.unique_id();
+        if let Some(response) =
+            call_one(&request.shared, coordinator, id, make_payload(id), time_limit).await
         {
-            if is_listed(&job.shared, &answer) {
-                return Some((answer, *coordinator));
+            if is_usable(&request.shared, &response) {
+                return Some((response, *coordinator));
             }
             continue;
         }
-        log::info!(target: "peers", id = job.id(), coordinator = coordinator.key;
+        log::info!(target: "peers", id = request.attempt_id(), coordinator = coordinator.key;
             "coordinator silent");
-        post.mark_unresponsive(coordinator.key, Instant::now() + SILENT);
+        socket.mark_unresponsive(coordinator.key, Instant::now() + UNRESPONSIVE_FOR);
     }
     None
 }
 
-async fn answer(
+async fn call_one(
     shared: &Shared,
     coordinator: &Member,
-    booking: ReservationId,
-    question: Payload,
-    patience: Duration,
+    id: ReservationId,
+    payload: Payload,
+    time_limit: Duration,
 ) -> Option<Response> {
     let Some(address) = coordinator.address else {
-        return coordination::respond(shared, &question);
+        return coordination::respond(shared, &payload);
     };
-    let mut waiting = shared.post.expect_response(booking);
-    shared.post.send(question, address);
-    timeout(patience, &mut waiting.response).await.ok()?.ok()
+    let mut pending = shared.post.expect_response(id);
+    shared.post.send(payload, address);
+    timeout(time_limit, &mut pending.response).await.ok()?.ok()
 }
 
-/// Whether an answer is of use here: the engine that it names may not be listed yet, or no more.
-fn is_listed(shared: &Shared, answer: &Response) -> bool {
-    match answer.decision {
+/// Whether a response is usable here: the engine that it grants may not be listed yet, or no
+/// longer.
+fn is_usable(shared: &Shared, response: &Response) -> bool {
+    match response.decision {
         Some(Decision::Granted(granted)) => {
             let engines = shared.fleet().engines();
             engines.iter().any(|engine| short_hash(engine.key) == granted.engine)
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -1,7 +1,7 @@
-//! One sending of a request: permit, booking, attempt, and its answer on the way back.
+//! One attempt of a request: its permit, its booking, sending it, and forwarding the response.
 
 use crate::codec::AttemptHead;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::request::permits::{self, Permit};
 use crate::request::relay::{Booking, Relay, Resume, Source};
 use crate::request::response::Body;
@@ -14,41 +14,42 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Sends the request to a target, with a permit if it needs one.
+/// Sends the request to a target, with a permit if the target requires one.
 pub async fn send(
-    job: &Job,
+    request: &RequestContext,
     target: &Arc<Target>,
-    sending: &AttemptHead,
+    head: &AttemptHead,
     permit: Permit,
 ) -> Outcome {
-    if permit == Permit::Wanted && permits::take(job, target).await.is_err() {
+    if permit == Permit::Required && permits::acquire(request, target).await.is_err() {
         return Outcome::Closed(Closed::Limited);
     }
-    let sent = Instant::now();
-    // Generations have booked the link before.
-    if job.ask.prompt.is_none() {
-        job.shared.book_bytes(job.content.body.len());
+    let sent_at = Instant::now();
+    // Generations have reserved the link before.
+    if request.head.prompt.is_none() {
+        request.shared.book_bytes(request.buffered.body.len());
     }
     let bounds = attempt::Bounds {
-        max_connections: job.shared.connections(&job.service),
-        connect_timeout: job.shared.connect_timeout(target),
-        deadline: job.last_word(),
+        max_connections: request.shared.connections(&request.service),
+        connect_timeout: request.shared.connect_timeout(target),
+        deadline: request.response_deadline(),
     };
-    let outcome = attempt::send(&*job.shared.codec, target, &job.content, sending, &bounds).await;
+    let outcome =
+        attempt::send(&*request.shared.codec, target, &request.buffered, head, &bounds).await;
     if let Outcome::Answered(answered) = &outcome
-        && let Some(took) = answered.connection.connect_time
+        && let Some(duration) = answered.connection.connect_time
     {
-        job.shared.record_connect_time(target, took);
+        request.shared.record_connect_time(target, duration);
     }
     if matches!(outcome, Outcome::Answered(_) | Outcome::NotRun(_)) {
-        permits::publish(&job.shared, target, permit, sent);
+        permits::publish_limit(&request.shared, target, permit, sent_at);
     }
     outcome
 }
 
-/// Passes a target's answer on.
-pub fn pass_on(
-    job: &Job,
+/// Forwards a target's response to the caller.
+pub fn forward(
+    request: &RequestContext,
     source: Source,
     resume: Option<Box<dyn Resume>>,
     trace: Trace,
@@ -56,13 +57,13 @@
     let mut response = Response::new(());
     *response.status_mut() = source.answered.response.status();
     *response.headers_mut() = source.answered.response.headers().clone();
-    job.shared.codec.strip_connection_headers(response.headers_mut());
-    let relay = Relay::new(source, job.until, resume, trace);
+    request.shared.codec.strip_connection_headers(response.headers_mut());
+    let relay = Relay::new(source, request.deadline, resume, trace);
     response.map(|()| Body::Relay(Box::new(relay)))
 }
 
-/// Books a request at a target.
-pub fn book(target: &Arc<Target>, writing: Option<StreamGuard>) -> Booking {
-    let entered = target.begin_request();
-    Booking { target: target.clone(), entered, reading: None, writing, place: None }
+/// Books a request at a target for as long as the booking lives.
+pub fn begin(target: &Arc<Target>, stream: Option<StreamGuard>) -> Booking {
+    let in_flight = target.begin_request();
+    Booking { target: target.clone(), in_flight, prefill: None, stream, reservation: None }
 }
--- a/crates/direct/src/request/events.rs
+++ b/crates/direct/src/request/events.rs
@@ -1,60 +1,62 @@
-//! Splits a stream of server-sent events so that only whole events are passed on.
+//! Splits a stream of server-sent events so that only complete events are forwarded.
 //!
-//! A target may stop in the middle of an event. If the stream then goes on at another target, the
-//! half event must not stand before the whole one.
+//! A target may stop in the middle of an event. If the stream is then resumed at another target,
+//! the partial event must not precede the complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of an event that has not ended yet, and the id of the last that has.
+/// The bytes of an event that is not yet complete, and the id of the last complete one.
 #[derive(Debug, Default)]
-pub struct Events {
-    rest: BytesMut,
-    last: Option<u64>,
+pub struct EventBuffer {
+    partial: BytesMut,
+    last_id: Option<u64>,
 }
 
 /// The end of an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 
 /// The field that holds an event's id.
-const ID: &[u8] = b"id:";
-
-impl Events {
-    /// Takes in bytes and returns those up to the end of the last whole event.
-    pub fn take(&mut self, bytes: &Bytes) -> Bytes {
-        // Mostly bytes come as whole events: then nothing is copied.
-        if self.rest.is_empty() && bytes.ends_with(END) {
-            self.note(bytes);
+const ID_FIELD: &[u8] = b"id:";
+
+impl EventBuffer {
+    /// Adds received bytes and returns those up to the end of the last complete event.
+    pub fn push(&mut self, bytes: &Bytes) -> Bytes {
+        // Bytes mostly arrive as complete events; then nothing is copied.
+        if self.partial.is_empty() && bytes.ends_with(EVENT_END) {
+            self.record_id(bytes);
             return bytes.clone();
         }
-        self.rest.extend_from_slice(bytes);
-        let Some(end) = self.rest.windows(END.len()).rposition(|window| window == END) else {
+        self.partial.extend_from_slice(bytes);
+        let Some(end) =
+            self.partial.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)
+        else {
             return Bytes::new();
         };
-        let whole = self.rest.split_to(end + END.len()).freeze();
-        self.note(&whole);
-        whole
+        let complete = self.partial.split_to(end + EVENT_END.len()).freeze();
+        self.record_id(&complete);
+        complete
     }
 
-    /// What is left when the stream has ended by itself.
-    pub fn rest(&mut self) -> Bytes {
-        self.rest.split().freeze()
+    /// Takes what is left once the stream has ended regularly.
+    pub fn take_partial(&mut self) -> Bytes {
+        self.partial.split().freeze()
     }
 
-    /// Forgets the half event of a stream that broke off.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    /// Discards the partial event of a stream that broke off.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 
-    /// The id of the last whole event.
-    pub fn last(&self) -> Option<u64> {
-        self.last
+    /// The id of the last complete event.
+    pub fn last_id(&self) -> Option<u64> {
+        self.last_id
     }
 
-    fn note(&mut self, whole: &[u8]) {
-        let ids = whole.split(|byte| *byte == b'\n').rev();
+    fn record_id(&mut self, complete: &[u8]) {
+        let ids = complete.split(|byte| *byte == b'\n').rev();
         let id = ids
-            .filter_map(|line| line.strip_prefix(ID))
+            .filter_map(|line| line.strip_prefix(ID_FIELD))
             .find_map(|id| std::str::from_utf8(id).ok().and_then(|id| id.trim().parse().ok()));
-        self.last = id.or(self.last);
+        self.last_id = id.or(self.last_id);
     }
 }
--- a/crates/direct/src/request/generate/cache.rs
+++ b/crates/direct/src/request/generate/cache.rs
@@ -1,7 +1,7 @@
-//! KV cache that waits for the engine that writes.
+//! KV cache that is held for the engine that will decode.
 
 use crate::codec::KvHandle;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::targets::attempt;
 use crate::targets::target::Target;
 use http::Method;
@@ -10,23 +10,27 @@
 use tokio::time::Instant;
 
 /// How long freeing a KV cache may take.
-const FREE: Duration = Duration::from_millis(500);
+const FREE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// After this time an engine has dropped what nobody took, most likely.
-const KEPT: Duration = Duration::from_secs(10);
+/// After this time an engine has most likely dropped a KV cache that no engine took.
+const HANDLE_TTL: Duration = Duration::from_secs(10);
 
-/// KV cache that an engine holds for another. Dropped, it is freed: it would push out what others
-/// need until it lapses.
-pub(super) struct Cache {
+/// KV cache that an engine holds for another. It is freed on drop: until it expires it would
+/// displace what others need.
+pub(super) struct HeldCache {
     engine: Arc<Target>,
     handle: Option<KvHandle>,
-    job: Arc<Job>,
+    request: Arc<RequestContext>,
 }
 
-impl Cache {
+impl HeldCache {
     /// The cache that `engine` holds under `handle`.
-    pub(super) fn new(job: &Arc<Job>, engine: &Arc<Target>, handle: KvHandle) -> Self {
-        Self { engine: engine.clone(), handle: Some(handle), job: job.clone() }
+    pub(super) fn new(
+        request: &Arc<RequestContext>,
+        engine: &Arc<Target>,
+        handle: KvHandle,
+    ) -> Self {
+        Self { engine: engine.clone(), handle: Some(handle), request: request.clone() }
     }
 
     /// The engine that holds it.
@@ -39,28 +43,29 @@
         self.handle.as_ref()
     }
 
-    /// Notes that an engine has taken it.
-    pub(super) fn taken(&mut self) {
+    /// Records that an engine has taken it.
+    pub(super) fn mark_taken(&mut self) {
         self.handle = None;
     }
 }
 
-impl Drop for Cache {
+impl Drop for HeldCache {
     fn drop(&mut self) {
         let Some(handle) = self.handle.take() else { return };
-        let tokens = self.job.ask.prompt.as_ref().map_or(0, |prompt| prompt.input_tokens);
-        self.job.shared.metrics.wasted_prefill(tokens.into());
+        let tokens = self.request.head.prompt.as_ref().map_or(0, |prompt| prompt.input_tokens);
+        self.request.shared.metrics.wasted_prefill(tokens.into());
         let engine = self.engine.clone();
-        let codec = self.job.shared.codec.clone();
+        let codec = self.request.shared.codec.clone();
         let path = codec.free_path(&handle.id);
         tokio::spawn(async move {
             if let Some(pause) =
-                engine.pause_remaining(Instant::now()).filter(|pause| *pause < KEPT)
+                engine.pause_remaining(Instant::now()).filter(|pause| *pause < HANDLE_TTL)
             {
                 tokio::time::sleep(pause).await;
             }
             let freed =
-                attempt::call(&*codec, &engine, Method::DELETE, &path, Vec::new(), FREE).await;
+                attempt::call(&*codec, &engine, Method::DELETE, &path, Vec::new(), FREE_TIMEOUT)
+                    .await;
             if let Err(detail) = freed {
                 log::info!(target: "request", target_id = engine.id.as_str(),
                     detail = detail.as_str(); "cache not freed");
--- a/crates/direct/src/request/generate/decode_step.rs
+++ b/crates/direct/src/request/generate/decode_step.rs
@@ -1,12 +1,12 @@
-//! The second half of a generation: an engine writes the output, and it is passed on.
+//! The second half of a generation: an engine decodes the output, which is forwarded to the caller.
 
-use super::prefill_step::{Place, has_read};
-use super::resume::Continuation;
-use super::writer;
+use super::choose_decode_engine;
+use super::prefill_step::{PromptState, record_prefill};
+use super::resume::StreamResumer;
 use crate::codec::{AttemptHead, Prompt, Step};
 use crate::config::route::RetryPolicy;
-use crate::request::attempts::Tries;
-use crate::request::context::Job;
+use crate::request::attempts::Attempts;
+use crate::request::context::RequestContext;
 use crate::request::decode_placement;
 use crate::request::dispatch;
 use crate::request::permits::Permit;
@@ -21,142 +21,158 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Has an engine write the output, and passes it on.
+/// Has an engine decode the output, and forwards it.
 pub(super) async fn run(
-    job: Arc<Job>,
+    request: Arc<RequestContext>,
     prompt: Prompt,
-    place: Place,
+    prompt_state: PromptState,
     trace: Trace,
 ) -> Response<Body> {
-    let mut write = Write { job, prompt, place, trace, tries: Tries::default() };
-    while let Some(Chosen { engine, permit, reservation }) = write.next().await {
-        let (sending, mut booking) = write.prepare(&engine);
-        booking.place = reservation;
+    let mut step =
+        DecodeStep { request, prompt, prompt_state, trace, attempts: Attempts::default() };
+    while let Some(ChosenEngine { engine, permit, reservation }) = step.next_engine().await {
+        let (head, mut booking) = step.prepare(&engine);
+        booking.reservation = reservation;
         let began = Instant::now();
-        let outcome = dispatch::send(&write.job, &engine, &sending, permit).await;
-        write.trace.tried("write", &engine.id, outcome.name(), began.elapsed());
-        write.note_handover(&engine, &outcome, began.elapsed());
-        let another = write.tries.note(&write.job, &engine, &outcome);
+        let outcome = dispatch::send(&step.request, &engine, &head, permit).await;
+        step.trace.record_attempt("write", &engine.id, outcome.name(), began.elapsed());
+        step.record_transfer_time(&engine, &outcome, began.elapsed());
+        let retry = step.attempts.record(&step.request, &engine, &outcome);
         match outcome {
-            Outcome::Answered(answered) => return write.relay(answered, booking),
-            // The cache may have been taken with it.
-            Outcome::Unknown(_) => write.place = Place::Anywhere,
+            Outcome::Answered(answered) => return step.forward(answered, booking),
+            // The engine may have taken the KV cache.
+            Outcome::Unknown(_) => step.prompt_state = PromptState::AnyEngine,
             Outcome::NotRun(_) | Outcome::NotSent(_) | Outcome::TimedOut | Outcome::Closed(_) => {}
         }
-        if !another {
+        if !retry {
             break;
         }
     }
-    write.tries.give_up(&write.job, &mut write.trace)
+    step.attempts.give_up(&step.request, &mut step.trace)
 }
 
-/// KV cache of shorter prompts, in tokens, says little of the link: it takes a fraction of a
-/// millisecond.
-const LEAST_HANDOVER: u32 = 1_024;
+/// Prompts with fewer tokens are no measure of the link: the transfer of their KV cache takes a
+/// fraction of a millisecond.
+const MIN_TRANSFER_TOKENS: u32 = 1_024;
 
-/// An engine that is to write.
-struct Chosen {
+/// An engine chosen for decode.
+struct ChosenEngine {
     engine: Arc<Target>,
     permit: Permit,
     reservation: Option<Reservation>,
 }
 
-/// A generation whose output is to be written.
-struct Write {
-    job: Arc<Job>,
+/// A generation whose output is to be decoded.
+struct DecodeStep {
+    request: Arc<RequestContext>,
     prompt: Prompt,
-    place: Place,
+    prompt_state: PromptState,
     trace: Trace,
-    tries: Tries,
+    attempts: Attempts,
 }
 
-impl Write {
-    /// The next engine to send it to, if there may be one, with its place there if one was booked.
-    async fn next(&mut self) -> Option<Chosen> {
-        let booked = self.place().await;
-        let Self { job, place, tries, .. } = self;
-        let mut permit = booked.as_ref().map(|booked| booked.permit).unwrap_or_default();
-        let chosen = booked.as_ref().map(|booked| booked.engine.clone());
-        let engine = tries.next(job, |tried| {
-            chosen.or_else(|| match place {
-                Place::There(there) if tried.is_empty() => {
-                    permit = there.permit;
-                    Some(there.engine.clone())
+impl DecodeStep {
+    /// The next engine to send the request to, if another attempt is allowed, with the slot
+    /// reserved there, if any.
+    async fn next_engine(&mut self) -> Option<ChosenEngine> {
+        let reserved = self.reserve().await;
+        let Self { request, prompt_state, attempts, .. } = self;
+        let mut permit = reserved.as_ref().map(|reserved| reserved.permit).unwrap_or_default();
+        let chosen = reserved.as_ref().map(|reserved| reserved.engine.clone());
+        let engine = attempts.next_target(request, |tried| {
+            chosen.or_else(|| match prompt_state {
+                PromptState::Engine(placement) if tried.is_empty() => {
+                    permit = placement.permit;
+                    Some(placement.engine.clone())
                 }
-                _ => writer(job, tried, place.near(job)),
+                _ => choose_decode_engine(request, tried, prompt_state.preferred_domain(request)),
             })
         })?;
-        Some(Chosen { engine, permit, reservation: booked.map(|booked| booked.reservation) })
+        Some(ChosenEngine {
+            engine,
+            permit,
+            reservation: reserved.map(|reserved| reserved.reservation),
+        })
     }
 
-    /// Books a place, unless the engine that read the prompt writes as well.
-    async fn place(&self) -> Option<decode_placement::Place> {
-        let tried = &self.tries.targets;
-        if matches!(self.place, Place::There(_)) && tried.is_empty() {
+    /// Reserves a decode slot, unless the engine chosen for the prefill also decodes.
+    async fn reserve(&self) -> Option<decode_placement::DecodePlacement> {
+        let tried = &self.attempts.targets;
+        if matches!(self.prompt_state, PromptState::Engine(_)) && tried.is_empty() {
             return None;
         }
-        let place = decode_placement::find(&self.job, tried, self.place.near(&self.job)).await;
-        place.filter(|place| place.engine.check_open(Instant::now()).is_ok())
+        let placement = decode_placement::find(
+            &self.request,
+            tried,
+            self.prompt_state.preferred_domain(&self.request),
+        )
+        .await;
+        placement.filter(|placement| placement.engine.check_open(Instant::now()).is_ok())
     }
 
     fn prepare(&self, engine: &Arc<Target>) -> (AttemptHead, Booking) {
-        let mut booking = dispatch::book(engine, Some(engine.engine.begin_stream()));
-        let mut sending = self.job.sending(engine);
-        match &self.place {
-            Place::Kept(cache) => {
+        let mut booking = dispatch::begin(engine, Some(engine.engine.begin_stream()));
+        let mut head = self.request.attempt_head(engine);
+        match &self.prompt_state {
+            PromptState::Cached(cache) => {
                 if let Some(handle) = cache.handle() {
-                    sending.step = Step::Decode(handle.clone());
+                    head.step = Step::Decode(handle.clone());
                 }
             }
-            Place::There(there) => {
-                sending.fetch_from = there.fetch.as_ref().map(|engine| engine.address);
-                booking.reading = Some(engine.engine.begin_prefill(there.tokens));
+            PromptState::Engine(placement) => {
+                head.fetch_from = placement.fetch_from.as_ref().map(|engine| engine.address);
+                booking.prefill = Some(engine.engine.begin_prefill(placement.tokens));
             }
-            Place::Anywhere => {
-                booking.reading =
+            PromptState::AnyEngine => {
+                booking.prefill =
                     Some(engine.engine.begin_prefill(u64::from(self.prompt.input_tokens)));
             }
         }
-        (sending, booking)
+        (head, booking)
     }
 
-    /// Takes in how long the KV cache was on its way, for both ends. An engine that refuses it has
-    /// too many others before it.
-    fn note_handover(&self, to: &Arc<Target>, outcome: &Outcome, took: Duration) {
-        let Place::Kept(cache) = &self.place else { return };
-        if self.prompt.input_tokens < LEAST_HANDOVER {
+    /// Records for both ends how long the transfer of the KV cache took. An engine that refuses it
+    /// has too many other transfers queued.
+    fn record_transfer_time(
+        &self,
+        destination: &Arc<Target>,
+        outcome: &Outcome,
+        duration: Duration,
+    ) {
+        let PromptState::Cached(cache) = &self.prompt_state else { return };
+        if self.prompt.input_tokens < MIN_TRANSFER_TOKENS {
             return;
         }
-        let took = match outcome {
-            Outcome::Answered(_) => took,
-            Outcome::NotRun(_) => self.job.patience(),
+        let duration = match outcome {
+            Outcome::Answered(_) => duration,
+            Outcome::NotRun(_) => self.request.unresponsive_after(),
             Outcome::NotSent(_) | Outcome::Unknown(_) | Outcome::TimedOut | Outcome::Closed(_) => {
                 return;
             }
         };
         let now = Instant::now();
-        to.record_transfer(TransferDirection::In, took, now);
-        cache.holder().record_transfer(TransferDirection::Out, took, now);
-        reservation::moved(&self.job.shared, cache.holder(), to, took);
+        destination.record_transfer(TransferDirection::In, duration, now);
+        cache.holder().record_transfer(TransferDirection::Out, duration, now);
+        reservation::publish_transfer(&self.request.shared, cache.holder(), destination, duration);
     }
 
-    fn relay(mut self, answered: Box<Answered>, booking: Booking) -> Response<Body> {
-        if let Place::Kept(cache) = &mut self.place {
-            cache.taken();
+    fn forward(mut self, answered: Box<Answered>, booking: Booking) -> Response<Body> {
+        if let PromptState::Cached(cache) = &mut self.prompt_state {
+            cache.mark_taken();
         }
-        self.trace.sendings += self.tries.sent;
-        let reservation = match &mut self.place {
-            Place::There(there) => there.reservation.take(),
-            Place::Kept(_) | Place::Anywhere => None,
+        self.trace.attempts += self.attempts.sent;
+        let reservation = match &mut self.prompt_state {
+            PromptState::Engine(placement) => placement.reservation.take(),
+            PromptState::Cached(_) | PromptState::AnyEngine => None,
         };
-        has_read(&self.job, &self.prompt, &booking.target, reservation);
+        record_prefill(&self.request, &self.prompt, &booking.target, reservation);
         let success = answered.response.status().is_success();
         if success {
-            // Engines answer with the first token.
-            self.job.count_run(Instant::now());
+            // Engines send the head of their response with the first token.
+            self.request.count_usage(Instant::now());
         }
-        let resumable = success && self.job.route.retry_policy == RetryPolicy::Resumable;
-        let resume = resumable.then(|| Continuation::boxed(&self.job, self.tries.sent));
-        dispatch::pass_on(&self.job, Source { answered, booking }, resume, self.trace)
+        let resumable = success && self.request.route.retry_policy == RetryPolicy::Resumable;
+        let resume = resumable.then(|| StreamResumer::boxed(&self.request, self.attempts.sent));
+        dispatch::forward(&self.request, Source { answered, booking }, resume, self.trace)
     }
 }
--- a/crates/direct/src/request/generate/prefill_step.rs
+++ b/crates/direct/src/request/generate/prefill_step.rs
@@ -1,10 +1,11 @@
-//! The first half of a generation: an engine reads the prompt, unless the one that writes will.
+//! The first half of a generation: an engine prefills the prompt, unless the engine that decodes
+//! will do so.
 
-use super::cache::Cache;
-use super::{keep, start};
+use super::cache::HeldCache;
+use super::{prefix_hash, record_cached};
 use crate::codec::{AttemptHead, KvHandle, Prompt, Step};
 use crate::config::route::Stage;
-use crate::request::context::{Job, SHORTLY};
+use crate::request::context::{RequestContext, TARGET_RETRY_AFTER};
 use crate::request::dispatch;
 use crate::request::permits::Permit;
 use crate::request::prefill_placement;
@@ -20,197 +21,250 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Engines that read a prompt, tried for one request. Reading is not running, so the bound is
-/// only there for the budget of extras.
-const READERS: u32 = 2;
+/// Prefill attempts for one request. A prefill does not count as running the request, so the bound
+/// only protects the budget of extra attempts.
+const MAX_PREFILL_ATTEMPTS: u32 = 2;
 
-/// Prompts up to this size are read by the engine that writes if no other has room, in tokens: it
+/// Prompts of up to this many tokens are prefilled by the decode engine if no other has room: it
 /// takes a few milliseconds there.
-const SHORT_PROMPT: u32 = 1_024;
+const SHORT_PROMPT_TOKENS: u32 = 1_024;
 
-/// What became of reading a prompt.
-pub(super) enum Read {
-    /// It can be written.
-    Placed(Place),
-    /// It is not read, and so not run.
+/// The result of the first half.
+pub(super) enum PrefillResult {
+    /// The prompt can be decoded.
+    Ready(PromptState),
+    /// The prompt was not prefilled, so the request has not run; with the time after which to
+    /// retry.
     Refused(Refusal, Duration),
 }
 
-/// Where a prompt is read.
-pub(super) enum Place {
-    /// It has been, and is kept under a handle.
-    Kept(Cache),
-    /// This engine reads and writes.
-    There(There),
-    /// Whichever engine writes reads it.
-    Anywhere,
+/// How the decode engine gets the prompt's KV cache.
+pub(super) enum PromptState {
+    /// It has been prefilled and is held under a handle.
+    Cached(HeldCache),
+    /// This engine both prefills and decodes.
+    Engine(PrefillPlacement),
+    /// The engine that decodes, whichever it is, also prefills it.
+    AnyEngine,
 }
 
-impl Place {
-    /// The failure domain to which whoever writes should be near.
-    pub(super) fn near<'a>(&'a self, job: &'a Job) -> &'a str {
+impl PromptState {
+    /// The failure domain in which the decode engine should be.
+    pub(super) fn preferred_domain<'a>(&'a self, request: &'a RequestContext) -> &'a str {
         match self {
-            Self::Kept(cache) => &cache.holder().domain,
-            Self::There(_) | Self::Anywhere => &job.shared.settings.domain,
+            Self::Cached(cache) => &cache.holder().domain,
+            Self::Engine(_) | Self::AnyEngine => &request.shared.settings.domain,
         }
     }
 }
 
-/// An engine that is to read a prompt.
-pub(super) struct There {
+/// An engine chosen to prefill a prompt.
+pub(super) struct PrefillPlacement {
     /// The engine.
     pub(super) engine: Arc<Target>,
-    /// The engine from which it first copies the prompt's start.
-    pub(super) fetch: Option<Arc<Target>>,
-    /// Tokens that are left to read.
+    /// The engine from which it first copies the cached prefix.
+    pub(super) fetch_from: Option<Arc<Target>>,
+    /// Tokens left to prefill.
     pub(super) tokens: u64,
-    /// Tokens that wait there before it.
-    waiting: u64,
-    /// Whether it may be sent there.
+    /// Tokens queued there before it.
+    queued_tokens: u64,
+    /// Whether the request may be sent there.
     pub(super) permit: Permit,
-    /// Its booking, unless this entry decided alone.
+    /// Its reservation, unless this entry decided by itself.
     pub(super) reservation: Option<Reservation>,
 }
 
-/// Has the prompt read, or finds out where it can be.
-pub(super) async fn run(job: &Arc<Job>, prompt: &Prompt, trace: &mut Trace) -> Read {
+/// Prefills the prompt, or finds out which engine can.
+pub(super) async fn run(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    trace: &mut Trace,
+) -> PrefillResult {
     let began = Instant::now();
-    // It is sent to the engine that reads and to the one that writes.
-    let once = u64::try_from(job.content.body.len()).unwrap_or(u64::MAX);
-    match job.shared.reserve_link(once * 2, job.route.objective) {
-        Ok(turn) if turn.is_zero() => {}
-        Ok(turn) => tokio::time::sleep(turn).await,
-        // Another entry's link is likely free now.
-        Err(back) => return Read::Refused(Refusal::LinkFull, back.min(SHORTLY)),
+    // The body is sent to the prefill engine and to the decode engine.
+    let body_bytes = u64::try_from(request.buffered.body.len()).unwrap_or(u64::MAX);
+    match request.shared.reserve_link(body_bytes * 2, request.route.objective) {
+        Ok(delay) if delay.is_zero() => {}
+        Ok(delay) => tokio::time::sleep(delay).await,
+        // The link of another entry is probably free.
+        Err(retry_after) => {
+            return PrefillResult::Refused(Refusal::LinkFull, retry_after.min(TARGET_RETRY_AFTER));
+        }
     }
-    let read = find_and_read(job, prompt, trace, began).await;
-    match &read {
-        Read::Refused(..) => job.shared.release_link(once * 2),
-        Read::Placed(Place::There(_) | Place::Anywhere) => job.shared.release_link(once),
-        Read::Placed(Place::Kept(_)) => {}
+    let result = place_and_prefill(request, prompt, trace, began).await;
+    match &result {
+        PrefillResult::Refused(..) => request.shared.release_link(body_bytes * 2),
+        PrefillResult::Ready(PromptState::Engine(_) | PromptState::AnyEngine) => {
+            request.shared.release_link(body_bytes)
+        }
+        PrefillResult::Ready(PromptState::Cached(_)) => {}
     }
-    read
+    result
 }
 
-/// Has the prompt read, or finds out where it can be, once it may be sent.
-async fn find_and_read(job: &Arc<Job>, prompt: &Prompt, trace: &mut Trace, began: Instant) -> Read {
-    let wanted = wanted(job, prompt, began.elapsed());
-    let mut counted = wanted.late;
+/// Prefills the prompt or finds out which engine can, once the link is reserved.
+async fn place_and_prefill(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    trace: &mut Trace,
+    began: Instant,
+) -> PrefillResult {
+    let requirements = requirements(request, prompt, began.elapsed());
+    let mut counted = requirements.late;
     let mut tried: Vec<Arc<Target>> = Vec::new();
-    while trace.sendings < READERS {
-        let found = find(job, prompt, &wanted, &tried).await;
+    while trace.attempts < MAX_PREFILL_ATTEMPTS {
+        let choice = find(request, prompt, &requirements, &tried).await;
         if !std::mem::replace(&mut counted, true) {
-            job.shared.loads.record_request(&job.service.name, found.unread(prompt));
+            request
+                .shared
+                .loads
+                .record_request(&request.service.name, choice.uncached_tokens(prompt));
         }
-        let place = match found {
-            Found::Full { .. } if prompt.input_tokens <= SHORT_PROMPT => {
-                return Read::Placed(Place::Anywhere);
+        let placement = match choice {
+            Choice::Full { .. } if prompt.input_tokens <= SHORT_PROMPT_TOKENS => {
+                return PrefillResult::Ready(PromptState::AnyEngine);
             }
-            Found::Full { soonest, .. } => {
-                let settings = job.shared.prompts(&job.service.name);
-                let random = job.shared.random();
-                let back = prefill::retry_after(&settings, soonest, job.left(), random);
-                return Read::Refused(Refusal::PromptsFull, back);
+            Choice::Full { retry_after: earliest, .. } => {
+                let settings = request.shared.prompts(&request.service.name);
+                let random = request.shared.random();
+                let retry_after =
+                    prefill::retry_after(&settings, earliest, request.time_left(), random);
+                return PrefillResult::Refused(Refusal::PrefillFull, retry_after);
             }
-            Found::At(place) => place,
+            Choice::Engine(placement) => placement,
         };
-        if place.engine.stage() != Some(Stage::Prefill) {
-            return Read::Placed(Place::There(place));
+        if placement.engine.stage() != Some(Stage::Prefill) {
+            return PrefillResult::Ready(PromptState::Engine(placement));
         }
-        tried.push(place.engine.clone());
-        if place.engine.check_open(Instant::now()).is_err() {
+        tried.push(placement.engine.clone());
+        if placement.engine.check_open(Instant::now()).is_err() {
             continue;
         }
-        if trace.sendings > 0 && !job.shared.try_book_extra(&job.service.name) {
-            return Read::Refused(Refusal::TargetRefused, SHORTLY);
+        if trace.attempts > 0 && !request.shared.try_book_extra(&request.service.name) {
+            return PrefillResult::Refused(Refusal::TargetRefused, TARGET_RETRY_AFTER);
         }
-        if let Some(cache) = prefill(job, prompt, place, trace).await {
-            return Read::Placed(Place::Kept(cache));
+        if let Some(cache) = attempt_prefill(request, prompt, placement, trace).await {
+            return PrefillResult::Ready(PromptState::Cached(cache));
         }
-        if Instant::now() >= job.until {
+        if Instant::now() >= request.deadline {
             break;
         }
     }
-    Read::Refused(Refusal::TargetRefused, SHORTLY)
+    PrefillResult::Refused(Refusal::TargetRefused, TARGET_RETRY_AFTER)
 }
 
-/// Where a prompt can be read.
-enum Found {
-    At(There),
-    Full { soonest: Duration, kept: u64 },
+/// Where a prompt can be prefilled.
+enum Choice {
+    Engine(PrefillPlacement),
+    Full { retry_after: Duration, cached_tokens: u64 },
 }
 
-impl Found {
-    /// Tokens of the prompt that no engine keeps.
-    fn unread(&self, prompt: &Prompt) -> u64 {
+impl Choice {
+    /// Tokens of the prompt that no engine has cached.
+    fn uncached_tokens(&self, prompt: &Prompt) -> u64 {
         match self {
-            Self::At(there) => there.tokens,
-            Self::Full { kept, .. } => u64::from(prompt.input_tokens).saturating_sub(*kept),
+            Self::Engine(placement) => placement.tokens,
+            Self::Full { cached_tokens, .. } => {
+                u64::from(prompt.input_tokens).saturating_sub(*cached_tokens)
+            }
         }
     }
 }
 
-/// Finds an engine: by asking those that coordinate them or, where nobody answers, by what this entry
-/// knows itself.
+/// Chooses an engine, by asking the coordinators or, where none answers, by what this entry knows.
 async fn find(
-    job: &Arc<Job>,
+    request: &Arc<RequestContext>,
     prompt: &Prompt,
-    wanted: &prefill::Prompt,
+    requirements: &prefill::Prompt,
     tried: &[Arc<Target>],
-) -> Found {
-    match prefill_placement::find(job, prompt, wanted, tried).await {
-        prefill_placement::Found::Booked(reserved) => {
-            let prefill_placement::Reserved { engine, fetch, tokens, waiting, permit, reservation } =
-                reserved;
+) -> Choice {
+    match prefill_placement::find(request, prompt, requirements, tried).await {
+        prefill_placement::SearchResult::Reserved(reserved) => {
+            let prefill_placement::ReservedEngine {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation,
+            } = reserved;
             let reservation = Some(reservation);
-            Found::At(There { engine, fetch, tokens, waiting, permit, reservation })
+            Choice::Engine(PrefillPlacement {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation,
+            })
+        }
+        prefill_placement::SearchResult::Full { retry_after, cached_tokens } => {
+            Choice::Full { retry_after, cached_tokens }
+        }
+        prefill_placement::SearchResult::Unanswered(engines) => {
+            choose_locally(request, prompt, requirements, &engines, tried)
         }
-        prefill_placement::Found::Full { soonest, kept } => Found::Full { soonest, kept },
-        prefill_placement::Found::Unheard(engines) => alone(job, prompt, wanted, &engines, tried),
     }
 }
 
-/// Places a prompt by what this entry knows itself, and the others told it of their work.
-fn alone(
-    job: &Job,
+/// Chooses an engine by what this entry knows, including the load reported by the others.
+fn choose_locally(
+    request: &RequestContext,
     prompt: &Prompt,
-    wanted: &prefill::Prompt,
+    requirements: &prefill::Prompt,
     engines: &[Arc<Target>],
     tried: &[Arc<Target>],
-) -> Found {
-    let engines = candidates(job, engines, tried);
-    let readers: Vec<PrefillCandidate> =
-        engines.iter().map(|engine| reader(job, engine, prompt)).collect();
-    let settings = job.shared.prompts(&job.service.name);
-    match prefill::place(&settings, wanted, &readers, job.shared.load_scale()) {
-        prefill::Placement::Full(soonest) => {
-            let kept = readers.iter().map(|reader| reader.cached_tokens).max().unwrap_or_default();
-            Found::Full { soonest, kept }
+) -> Choice {
+    let engines = candidates(request, engines, tried);
+    let candidates: Vec<PrefillCandidate> =
+        engines.iter().map(|engine| candidate(request, engine, prompt)).collect();
+    let settings = request.shared.prompts(&request.service.name);
+    match prefill::place(&settings, requirements, &candidates, request.shared.load_scale()) {
+        prefill::Placement::Full(retry_after) => {
+            let cached_tokens = candidates
+                .iter()
+                .map(|candidate| candidate.cached_tokens)
+                .max()
+                .unwrap_or_default();
+            Choice::Full { retry_after, cached_tokens }
         }
         prefill::Placement::Prefill { at, copy_from, tokens } => {
-            let (engine, waiting) = (engines[at].clone(), readers[at].queued_tokens);
-            let fetch = copy_from.map(|at| engines[at].clone());
-            let permit = Permit::Wanted;
-            Found::At(There { engine, fetch, tokens, waiting, permit, reservation: None })
+            let (engine, queued_tokens) = (engines[at].clone(), candidates[at].queued_tokens);
+            let fetch_from = copy_from.map(|at| engines[at].clone());
+            let permit = Permit::Required;
+            Choice::Engine(PrefillPlacement {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation: None,
+            })
         }
     }
 }
 
-/// Engines that may read: all that can be reached and were not tried.
-fn candidates(job: &Job, engines: &[Arc<Target>], tried: &[Arc<Target>]) -> Vec<Arc<Target>> {
+/// Engines that may prefill: all that are available and were not tried.
+fn candidates(
+    request: &RequestContext,
+    engines: &[Arc<Target>],
+    tried: &[Arc<Target>],
+) -> Vec<Arc<Target>> {
     let now = Instant::now();
     let untried = |engine: &&Arc<Target>| tried.iter().all(|other| other.id != engine.id);
-    let able =
+    let eligible =
         |engine: &&Arc<Target>| !engine.is_changing_stage(now) && engine.closed_for(now).is_none();
-    let able: Vec<_> = engines.iter().filter(untried).filter(able).cloned().collect();
-    let here = |engine: &&Arc<Target>| !engine.is_unavailable(job.patience(), now);
-    let present: Vec<_> = able.iter().filter(here).cloned().collect();
-    // All seem away to a process that was frozen itself and has not read what they said.
-    if present.is_empty() { able } else { present }
+    let eligible: Vec<_> = engines.iter().filter(untried).filter(eligible).cloned().collect();
+    let available =
+        |engine: &&Arc<Target>| !engine.is_unavailable(request.unresponsive_after(), now);
+    let available: Vec<_> = eligible.iter().filter(available).cloned().collect();
+    // All engines look unavailable to a process that was frozen itself and has not yet read their
+    // responses.
+    if available.is_empty() { eligible } else { available }
 }
 
-fn reader(job: &Job, engine: &Arc<Target>, prompt: &Prompt) -> PrefillCandidate {
-    let others = job.shared.peers.load_at(engine.key);
+fn candidate(request: &RequestContext, engine: &Arc<Target>, prompt: &Prompt) -> PrefillCandidate {
+    let others = request.shared.peers.load_at(engine.key);
     let streams = engine.engine.streams() + others.streams;
     PrefillCandidate {
         key: engine.key,
@@ -223,97 +277,108 @@
     }
 }
 
-/// What is wanted of an engine, for a prompt that has `waited` here.
-fn wanted(job: &Job, prompt: &Prompt, waited: Duration) -> prefill::Prompt {
-    let late = job.shared.is_retry(&job.route, job.ask.deadline);
+/// What a prompt that has `waited` here requires of an engine.
+fn requirements(request: &RequestContext, prompt: &Prompt, waited: Duration) -> prefill::Prompt {
+    let late = request.shared.is_retry(&request.route, request.head.deadline);
     let (tokens, objective) =
-        (u64::from(prompt.input_tokens), job.route.objective.saturating_sub(waited));
-    prefill::Prompt { prefix_hash: start(prompt), tokens, objective, late }
+        (u64::from(prompt.input_tokens), request.route.objective.saturating_sub(waited));
+    prefill::Prompt { prefix_hash: prefix_hash(prompt), tokens, objective, late }
 }
 
-/// Has an engine read the prompt; `None` if it did not.
-async fn prefill(
-    job: &Arc<Job>,
+/// Sends the prompt to an engine for prefill; `None` if it was not prefilled.
+async fn attempt_prefill(
+    request: &Arc<RequestContext>,
     prompt: &Prompt,
-    place: There,
+    placement: PrefillPlacement,
     trace: &mut Trace,
-) -> Option<Cache> {
-    let There { engine, fetch, tokens, waiting, permit, reservation } = place;
+) -> Option<HeldCache> {
+    let PrefillPlacement { engine, fetch_from, tokens, queued_tokens, permit, reservation } =
+        placement;
     let engine = &engine;
-    let _entered = engine.begin_request();
-    let _reading = engine.engine.begin_prefill(tokens);
-    let fetch = fetch.map(|engine| engine.address);
-    let settings = &job.shared.settings.prompts;
-    let urgency = Some(prefill::priority(settings, tokens, job.rank()));
-    let kept = u64::from(prompt.input_tokens).saturating_sub(tokens);
-    job.shared.metrics.prompt_tokens(tokens, kept);
-    let sending = AttemptHead {
+    let _in_flight = engine.begin_request();
+    let _prefill = engine.engine.begin_prefill(tokens);
+    let fetch_address = fetch_from.map(|engine| engine.address);
+    let settings = &request.shared.settings.prompts;
+    let prefill_priority = Some(prefill::priority(settings, tokens, request.priority()));
+    let cached_tokens = u64::from(prompt.input_tokens).saturating_sub(tokens);
+    request.shared.metrics.prompt_tokens(tokens, cached_tokens);
+    let head = AttemptHead {
         step: Step::Prefill,
-        fetch_from: fetch,
-        priority: urgency,
-        ..job.sending(engine)
+        fetch_from: fetch_address,
+        priority: prefill_priority,
+        ..request.attempt_head(engine)
     };
     let began = Instant::now();
-    let outcome = dispatch::send(job, engine, &sending, permit).await;
+    let outcome = dispatch::send(request, engine, &head, permit).await;
     let name = outcome.name();
-    let took = began.elapsed();
-    trace.tried("read", &engine.id, name, took);
-    trace.sendings += u32::from(!matches!(outcome, Outcome::NotSent(_) | Outcome::Closed(_)));
+    let duration = began.elapsed();
+    trace.record_attempt("read", &engine.id, name, duration);
+    trace.attempts += u32::from(!matches!(outcome, Outcome::NotSent(_) | Outcome::Closed(_)));
     match outcome {
         Outcome::Answered(answered) => {
             let success = answered.response.status().is_success();
-            let id = handle(job, *answered).await.filter(|_| success)?;
-            job.shared.record_prefill_time(&job.service.name, waiting + tokens, took);
-            has_read(job, prompt, engine, reservation);
+            let id = read_handle(request, *answered).await.filter(|_| success)?;
+            request.shared.record_prefill_time(
+                &request.service.name,
+                queued_tokens + tokens,
+                duration,
+            );
+            record_prefill(request, prompt, engine, reservation);
             let handle = KvHandle { holder: engine.address, id };
-            return Some(Cache::new(job, engine, handle));
+            return Some(HeldCache::new(request, engine, handle));
         }
-        Outcome::NotRun(_) => job.shared.book_extra(&job.service.name),
+        Outcome::NotRun(_) => request.shared.book_extra(&request.service.name),
         Outcome::TimedOut | Outcome::Closed(_) => {}
-        Outcome::NotSent(_) => failed(reservation),
+        Outcome::NotSent(_) => fail_reservation(reservation),
         Outcome::Unknown(_) => {
-            job.suspect(engine);
-            failed(reservation);
+            request.suspect_if_crashed(engine);
+            fail_reservation(reservation);
         }
     }
     None
 }
 
-/// Remembers what the engine keeps, and ends the booking with that.
-pub(super) fn has_read(
-    job: &Job,
+/// Records which parts the engine has cached, and completes the reservation.
+pub(super) fn record_prefill(
+    request: &RequestContext,
     prompt: &Prompt,
     engine: &Target,
     reservation: Option<Reservation>,
 ) {
-    let Some(reservation) = reservation else { return keep(job, prompt, engine) };
-    engine.engine.record_cached(&prompt.parts, job.shared.kv_capacity(&job.service.name));
-    reservation.read(&prompt.parts);
+    let Some(reservation) = reservation else { return record_cached(request, prompt, engine) };
+    engine.engine.record_cached(&prompt.parts, request.shared.kv_capacity(&request.service.name));
+    reservation.complete(&prompt.parts);
 }
 
-fn failed(reservation: Option<Reservation>) {
+fn fail_reservation(reservation: Option<Reservation>) {
     if let Some(reservation) = reservation {
-        reservation.failed();
+        reservation.fail();
     }
 }
 
-/// Reads the handle from the answer, and keeps the connection.
-async fn handle(job: &Job, answered: attempt::Answered) -> Option<CompactString> {
+/// Reads the handle from the response and keeps the connection for reuse.
+async fn read_handle(
+    request: &RequestContext,
+    answered: attempt::Answered,
+) -> Option<CompactString> {
     let attempt::Answered { response, head, connection } = answered;
-    let body = tokio::time::timeout_at(job.last_word(), response.into_body().collect()).await;
+    let body =
+        tokio::time::timeout_at(request.response_deadline(), response.into_body().collect()).await;
     let body = match body {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) => {
-            log::info!(target: "request", id = job.id(), error:% = error; "handle cut off");
+            log::info!(target: "request", id = request.attempt_id(), error:% = error;
+                "handle cut off");
             return None;
         }
         Err(_) => return None,
     };
     connection.keep(head.keep_alive, Instant::now());
-    match job.shared.codec.decode_handle(&body) {
+    match request.shared.codec.decode_handle(&body) {
         Ok(handle) => Some(handle),
         Err(error) => {
-            log::warn!(target: "request", id = job.id(), error:% = error; "handle not readable");
+            log::warn!(target: "request", id = request.attempt_id(), error:% = error;
+                "handle not readable");
             None
         }
     }
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -1,8 +1,8 @@
-//! Going on with a stream that broke.
+//! Resumes a broken stream.
 
-use super::writer;
+use super::choose_decode_engine;
 use crate::codec::AttemptHead;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::request::dispatch;
 use crate::request::permits::Permit;
 use crate::request::relay::{Resume, Source};
@@ -13,41 +13,41 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Engines asked to go on, of which all but the last take in no more now.
-const ENGINES: usize = 3;
+/// Engines asked to resume one stream; all but the last of them accept no requests now.
+const MAX_ENGINES: usize = 3;
 
-/// Goes on with a stream that broke, at another engine.
-pub(super) struct Continuation {
-    job: Arc<Job>,
+/// Resumes a broken stream at another engine.
+pub(super) struct StreamResumer {
+    request: Arc<RequestContext>,
     /// Engines that the request was sent to so far.
-    sent: u32,
+    attempts: u32,
 }
 
-impl Continuation {
-    /// For a request that was sent to so many engines.
-    pub(super) fn boxed(job: &Arc<Job>, sent: u32) -> Box<dyn Resume> {
-        Box::new(Self { job: job.clone(), sent })
+impl StreamResumer {
+    /// For a request that was sent to this many engines.
+    pub(super) fn boxed(request: &Arc<RequestContext>, attempts: u32) -> Box<dyn Resume> {
+        Box::new(Self { request: request.clone(), attempts })
     }
 }
 
-impl Resume for Continuation {
+impl Resume for StreamResumer {
     fn resume(
         &self,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
         failed: &Arc<Target>,
     ) -> Pin<Box<dyn Future<Output = Option<Source>> + Send>> {
-        let (job, failed) = (self.job.clone(), failed.clone());
-        let allowed = self.sent < job.route.max_attempts;
+        let (request, failed) = (self.request.clone(), failed.clone());
+        let allowed = self.attempts < request.route.max_attempts;
         Box::pin(async move {
-            job.suspect(&failed);
-            if !allowed || !job.shared.try_book_extra(&job.service.name) {
+            request.suspect_if_crashed(&failed);
+            if !allowed || !request.shared.try_book_extra(&request.service.name) {
                 return None;
             }
             let mut tried = vec![failed.clone()];
-            while tried.len() <= ENGINES {
-                let engine = writer(&job, &tried, &failed.domain)?;
-                let booking = dispatch::book(&engine, Some(engine.engine.begin_stream()));
-                let outcome = resume(&job, &engine, after).await;
+            while tried.len() <= MAX_ENGINES {
+                let engine = choose_decode_engine(&request, &tried, &failed.domain)?;
+                let booking = dispatch::begin(&engine, Some(engine.engine.begin_stream()));
+                let outcome = resume(&request, &engine, last_event_id).await;
                 match outcome {
                     Outcome::Answered(answered) if answered.response.status().is_success() => {
                         return Some(Source { answered, booking });
@@ -61,14 +61,18 @@
     }
 }
 
-/// Has an engine go on after an event.
-async fn resume(job: &Job, engine: &Arc<Target>, after: Option<u64>) -> Outcome {
-    let sending = AttemptHead { last_event_id: after, ..job.sending(engine) };
+/// Asks an engine to resume the stream after an event.
+async fn resume(
+    request: &RequestContext,
+    engine: &Arc<Target>,
+    after_event: Option<u64>,
+) -> Outcome {
+    let head = AttemptHead { last_event_id: after_event, ..request.attempt_head(engine) };
     let began = Instant::now();
-    let outcome = dispatch::send(job, engine, &sending, Permit::Wanted).await;
-    let name = outcome.name();
-    job.shared.metrics.attempt("resume", &engine.id, name, began.elapsed());
-    log::info!(target: "request", id = job.id(), target_id = engine.id.as_str(),
-        after:? = after, went = name; "stream resumed");
+    let outcome = dispatch::send(request, engine, &head, Permit::Required).await;
+    let outcome_name = outcome.name();
+    request.shared.metrics.attempt("resume", &engine.id, outcome_name, began.elapsed());
+    log::info!(target: "request", id = request.attempt_id(), target_id = engine.id.as_str(),
+        after:? = after_event, went = outcome_name; "stream resumed");
     outcome
 }
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -1,14 +1,15 @@
-//! Permits for requests to targets that named a limit on their intake, see [`policy::pacing`].
+//! Permits for requests to targets with a rate limit, see [`policy::pacing`].
 //!
-//! Whoever is about to send to such a target asks the coordinators of its group for a permit, unless one
-//! came with the place that was booked there. Without one nothing is sent, and the request goes elsewhere.
+//! Before sending to such a target, an entry asks the coordinators of the target's group for a
+//! permit, unless one came with the reservation. Without a permit nothing is sent, and the request
+//! goes to another target.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups;
 use crate::cluster::messages::{Decision, Payload, PermitRequest, TargetLimit};
 use crate::config::route::Stage;
 use crate::exchange::coordination;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::request::coordinator_client;
 use crate::shared::Shared;
 use crate::targets::target::Target;
@@ -17,118 +18,121 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether a request may be sent to a target that named a limit.
+/// Whether a request may be sent to a target with a rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Permit {
-    /// It has to be asked for.
+    /// A permit has to be acquired first.
     #[default]
-    Wanted,
-    /// The target's coordinator has given it.
-    Held,
+    Required,
+    /// The target's coordinator has granted one.
+    Granted,
 }
 
 impl Permit {
-    /// What a coordinator's grant says.
-    pub fn of(given: bool) -> Self {
-        if given { Self::Held } else { Self::Wanted }
+    /// The permit that comes with a grant of a coordinator, if it holds one.
+    pub fn from_grant(granted: bool) -> Self {
+        if granted { Self::Granted } else { Self::Required }
     }
 }
 
 /// The result of asking for a permit.
-pub type Result<T, E = Refused> = std::result::Result<T, E>;
+pub type Result<T, E = NoPermit> = std::result::Result<T, E>;
 
-/// There is no permit now; [`Target::closed_for`] tells for how long.
+/// No permit is available now; [`Target::closed_for`] returns for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the target takes in no more now")]
-pub struct Refused;
+#[error("no permit to send to the target now")]
+pub struct NoPermit;
 
-/// How long a target gets nothing from an entry that no coordinator answers.
-const UNANSWERED: Duration = Duration::from_millis(200);
+/// For how long nothing is sent to a target after no coordinator answered.
+const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 
-/// By how much entries and callers differ in when they ask again, as a part of the time that they were told.
-const SPREAD: f64 = 0.5;
+/// By how much the retries of entries and callers are spread, as a share of the time until then.
+const RETRY_JITTER: f64 = 0.5;
 
-/// Asks for a permit to send to a target; one that named no limit needs none.
-pub async fn take(job: &Job, target: &Arc<Target>) -> Result<()> {
+/// Acquires a permit to send to a target; one without a rate limit needs none.
+pub async fn acquire(request: &RequestContext, target: &Arc<Target>) -> Result<()> {
     let now = Instant::now();
     if target.limit().is_none() {
         return Ok(());
     }
     if target.closed_for(now).is_some() {
-        return Err(Refused);
+        return Err(NoPermit);
     }
-    let shared = &job.shared;
+    let shared = &request.shared;
     let (groups, service) =
         (shared.groups(&target.service), short_hash(policy::hash(&target.service)));
-    let make = |booking| {
-        let (target, limit) = (short_hash(target.key), limit(target, now));
+    let make = |id| {
+        let (target, limit) = (short_hash(target.key), current_limit(target, now));
         Payload::PermitRequest(PermitRequest {
-            reservation: booking,
+            reservation: id,
             service,
             target,
-            requester: Some(job.asker()),
+            requester: Some(request.requester()),
             limit,
         })
     };
-    let room = match groups::group_of(&groups, target) {
-        Some(group) => coordinator_client::ask(job, group, job.route.objective, make).await,
+    let reply = match groups::group_of(&groups, target) {
+        Some(group) => {
+            coordinator_client::call(request, group, request.route.objective, make).await
+        }
         None => None,
     };
-    let (kind, after) = match room.and_then(|(answer, _)| answer.decision) {
+    let (kind, retry_after) = match reply.and_then(|(response, _)| response.decision) {
         Some(Decision::Permitted(_)) => ("given", None),
-        Some(Decision::Refused(full)) => {
-            ("refused", Some(Duration::from_micros(full.retry_after_us)))
+        Some(Decision::Refused(refused)) => {
+            ("refused", Some(Duration::from_micros(refused.retry_after_us)))
         }
-        Some(Decision::Granted(_)) | None => ("unanswered", Some(UNANSWERED)),
+        Some(Decision::Granted(_)) | None => ("unanswered", Some(UNANSWERED_BACKOFF)),
     };
     shared.metrics.permit(kind);
-    let Some(after) = after else { return Ok(()) };
-    let back = after.mul_f64(1.0 + (shared.random() - 0.5) * SPREAD);
+    let Some(retry_after) = retry_after else { return Ok(()) };
+    let delay = retry_after.mul_f64(1.0 + (shared.random() - 0.5) * RETRY_JITTER);
     let now = Instant::now();
-    target.close_until(now + back, now);
-    Err(Refused)
+    target.close_until(now + delay, now);
+    Err(NoPermit)
 }
 
-/// When something may be sent to targets of a service that is closed to this entry.
+/// When the targets of a service that are closed to this entry accept requests again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Opening {
-    /// How long until the first of those that are closed opens.
+pub struct Reopening {
+    /// How long until the first of them does.
     pub soonest: Option<Duration>,
-    /// Whether none is open now.
-    pub all: bool,
+    /// Whether all targets are closed now.
+    pub all_closed: bool,
 }
 
-/// When one of the targets opens that could serve the request to its end.
-pub fn opening(job: &Job) -> Opening {
+/// When the targets that could serve the request to its end accept requests again.
+pub fn reopening(request: &RequestContext) -> Reopening {
     let now = Instant::now();
-    let targets = job.shared.usable(&job.service.name);
-    let able = targets.iter().filter(|target| target.stage() != Some(Stage::Prefill));
-    let closed: Vec<_> = able.map(|target| target.closed_for(now)).collect();
+    let targets = request.shared.usable(&request.service.name);
+    let eligible = targets.iter().filter(|target| target.stage() != Some(Stage::Prefill));
+    let closed: Vec<_> = eligible.map(|target| target.closed_for(now)).collect();
     let soonest = closed.iter().flatten().min().copied();
-    Opening { soonest, all: closed.iter().all(Option::is_some) }
+    Reopening { soonest, all_closed: closed.iter().all(Option::is_some) }
 }
 
-/// When a caller is to come back to a target that opens in `soonest`.
-pub fn come_back(job: &Job, soonest: Duration) -> Duration {
-    let (settings, random) = (&job.shared.settings.prompts, job.shared.random());
-    let spread = soonest.mul_f64(1.0 + random * SPREAD);
-    // Sooner than that would be in vain, however long its caller waits.
-    prefill::retry_after(settings, soonest, job.left(), random).max(spread)
+/// `Retry-After` for a caller whose targets open in `soonest` at the earliest.
+pub fn retry_after(request: &RequestContext, soonest: Duration) -> Duration {
+    let (settings, random) = (&request.shared.settings.prompts, request.shared.random());
+    let jittered = soonest.mul_f64(1.0 + random * RETRY_JITTER);
+    // An earlier retry would be refused again, however long the caller waits.
+    prefill::retry_after(settings, soonest, request.time_left(), random).max(jittered)
 }
 
-/// Tells a target's coordinators which limit it names, after an answer to a request sent at `sent`, if
-/// they may not know.
-pub fn publish(shared: &Shared, target: &Target, permit: Permit, sent: Instant) {
+/// Reports a target's rate limit, as named in the response to a request sent at `sent_at`, to the
+/// target's coordinators if they may not have it.
+pub fn publish_limit(shared: &Shared, target: &Target, permit: Permit, sent_at: Instant) {
     let now = Instant::now();
-    let limit = limit(target, now);
-    let is_outdated = limit.is_none() && permit == Permit::Held;
+    let limit = current_limit(target, now);
+    let is_outdated = limit.is_none() && permit == Permit::Granted;
     if !target.begin_limit_report(is_outdated, now) {
         return;
     }
     let rate = target.limit();
     shared.metrics.limit(&target.id, rate);
-    let limit =
-        limit.unwrap_or_else(|| row(target, None, now.duration_since(sent), Duration::ZERO));
+    let limit = limit.unwrap_or_else(|| {
+        limit_message(target, None, now.duration_since(sent_at), Duration::ZERO)
+    });
     let groups = shared.groups(&target.service);
     let coordinators =
         groups::group_of(&groups, target).into_iter().flat_map(|group| &group.coordinators);
@@ -140,21 +144,26 @@
     }
 }
 
-/// What a target names now, if it is limited.
-fn limit(target: &Target, now: Instant) -> Option<TargetLimit> {
+/// The target's current rate limit, if it has one.
+fn current_limit(target: &Target, now: Instant) -> Option<TargetLimit> {
     let rate = target.limit()?;
-    let (sent, heard) = target.limit_times();
+    let (sent_at, received_at) = target.limit_times();
     let ago = |at: Instant| now.saturating_duration_since(at);
-    Some(row(target, Some(rate), ago(sent), ago(heard)))
+    Some(limit_message(target, Some(rate), ago(sent_at), ago(received_at)))
 }
 
-fn row(target: &Target, rate: Option<f64>, sent: Duration, heard: Duration) -> TargetLimit {
+fn limit_message(
+    target: &Target,
+    rate: Option<f64>,
+    request_age: Duration,
+    response_age: Duration,
+) -> TargetLimit {
     let ms = |span: Duration| u32::try_from(span.as_millis()).unwrap_or(u32::MAX);
     TargetLimit {
         service: short_hash(policy::hash(&target.service)),
         target: short_hash(target.key),
         rate,
-        request_age_ms: ms(sent).saturating_add(1),
-        response_age_ms: ms(heard),
+        request_age_ms: ms(request_age).saturating_add(1),
+        response_age_ms: ms(response_age),
     }
 }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -1,7 +1,7 @@
 //! Requests to plain services, and to engines that do all of a request by themselves.
 
-use crate::request::attempts::Tries;
-use crate::request::context::Job;
+use crate::request::attempts::Attempts;
+use crate::request::context::RequestContext;
 use crate::request::dispatch;
 use crate::request::permits::Permit;
 use crate::request::relay::Source;
@@ -13,55 +13,62 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Sends the request to a target, and to another if that is safe and pays.
-pub async fn run(job: Arc<Job>, mut trace: Trace) -> Response<Body> {
-    let mut tries = Tries::default();
+/// Sends the request to a target, and retries at others where that is safe and may help.
+pub async fn run(request: Arc<RequestContext>, mut trace: Trace) -> Response<Body> {
+    let mut attempts = Attempts::default();
     let mut last = None;
-    while let Some(target) = tries.next(&job, |tried| choose(&job, tried)) {
-        let booking = dispatch::book(&target, None);
+    while let Some(target) = attempts.next_target(&request, |tried| choose_target(&request, tried))
+    {
+        let booking = dispatch::begin(&target, None);
         let began = Instant::now();
-        let outcome = dispatch::send(&job, &target, &job.sending(&target), Permit::Wanted).await;
-        trace.tried("whole", &target.id, outcome.name(), began.elapsed());
-        let another = tries.note(&job, &target, &outcome);
+        let outcome =
+            dispatch::send(&request, &target, &request.attempt_head(&target), Permit::Required)
+                .await;
+        trace.record_attempt("whole", &target.id, outcome.name(), began.elapsed());
+        let retry = attempts.record(&request, &target, &outcome);
         if outcome.may_have_run() {
-            job.count_run(began);
+            request.count_usage(began);
         }
         if let Outcome::Answered(answered) = outcome {
             last = Some(Source { answered, booking });
         }
-        if !another {
+        if !retry {
             break;
         }
     }
     match last {
         Some(source) => {
-            trace.sendings += tries.sent;
-            dispatch::pass_on(&job, source, None, trace)
+            trace.attempts += attempts.sent;
+            dispatch::forward(&request, source, None, trace)
         }
-        None => tries.give_up(&job, &mut trace),
+        None => attempts.give_up(&request, &mut trace),
     }
 }
 
-/// The least full target that was not tried yet; one that can't be reached only if all can't.
-fn choose(job: &Job, tried: &[Arc<Target>]) -> Option<Arc<Target>> {
+/// The least utilized target that was not tried yet; an unavailable one only if all are.
+fn choose_target(request: &RequestContext, tried: &[Arc<Target>]) -> Option<Arc<Target>> {
     let now = Instant::now();
-    let targets = job.shared.usable(&job.service.name);
+    let targets = request.shared.usable(&request.service.name);
     let untried = targets.iter().filter(|target| tried.iter().all(|other| other.id != target.id));
     let untried = untried.filter(|target| target.closed_for(now).is_none());
-    let rank = |target: &Arc<Target>| {
-        let away = target.domain != job.shared.settings.domain;
-        (target.is_unavailable(job.patience(), now), target.utilization(now), away)
+    let preference = |target: &Arc<Target>| {
+        let other_domain = target.domain != request.shared.settings.domain;
+        (
+            target.is_unavailable(request.unresponsive_after(), now),
+            target.utilization(now),
+            other_domain,
+        )
     };
-    // Equal targets are drawn at random, so that entries don't all take the same.
-    let drawn = untried.map(|target| (rank(target), job.shared.random(), target));
-    let least = drawn.min_by(|a, b| {
-        let ((paused, full, away), random, _) = a;
-        let ((other_paused, other_full, other_away), other_random, _) = b;
-        paused
-            .cmp(other_paused)
-            .then(full.total_cmp(other_full))
-            .then(away.cmp(other_away))
-            .then(random.total_cmp(other_random))
+    // Equal targets are drawn at random, so that entries don't all choose the same.
+    let drawn = untried.map(|target| (preference(target), request.shared.random(), target));
+    let best = drawn.min_by(|a, b| {
+        let ((unavailable, utilization, other_domain), random, _) = a;
+        let ((unavailable_b, utilization_b, other_domain_b), random_b, _) = b;
+        unavailable
+            .cmp(unavailable_b)
+            .then(utilization.total_cmp(utilization_b))
+            .then(other_domain.cmp(other_domain_b))
+            .then(random.total_cmp(random_b))
     });
-    least.map(|(_, _, target)| target.clone())
+    best.map(|(_, _, target)| target.clone())
 }
--- a/crates/direct/src/request/prefill_placement.rs
+++ b/crates/direct/src/request/prefill_placement.rs
@@ -1,6 +1,6 @@
-//! Has a prompt booked at an engine that can read it in time: asks the coordinators of the groups, in the
-//! order in which prompts with its start do. If nobody answers for a group, this entry decides by what the
-//! others told it of their work, as it would alone.
+//! Reserves an engine that can prefill a prompt in time, by asking the coordinators of groups in
+//! the order that all prompts with its prefix hash use. If nobody answers for a group, this entry
+//! decides by the load that the other entries reported, as it would without coordinators.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
@@ -8,10 +8,10 @@
     CachedPrefix, Decision, Granted, Parts, Payload, PrefillRequest, Refused,
 };
 use crate::codec::Prompt;
-use crate::request::context::Job;
+use crate::request::context::RequestContext;
 use crate::request::coordinator_client;
 use crate::request::permits::Permit;
-use crate::request::reservation::{Reservation, order};
+use crate::request::reservation::{Reservation, group_order};
 use crate::targets::target::Target;
 use policy::prefill;
 use policy::reservations::ReservationId;
@@ -19,179 +19,197 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Where a prompt can be read.
-pub enum Found {
-    /// It is booked there.
-    Booked(Reserved),
+/// Where a prompt can be prefilled.
+pub enum SearchResult {
+    /// It is reserved at this engine.
+    Reserved(ReservedEngine),
     /// No group that was asked has room.
     Full {
-        /// When there will be some.
-        soonest: Duration,
-        /// Tokens of the prompt that some engine keeps.
-        kept: u64,
+        /// When some group will have room.
+        retry_after: Duration,
+        /// Tokens of the prompt that some engine has cached.
+        cached_tokens: u64,
     },
     /// Nobody answered for these engines, and the groups that answered have no room.
-    Unheard(Vec<Arc<Target>>),
+    Unanswered(Vec<Arc<Target>>),
 }
 
-/// A prompt that is booked at an engine.
-pub struct Reserved {
+/// An engine at which a prompt is reserved.
+pub struct ReservedEngine {
     /// The engine.
     pub engine: Arc<Target>,
-    /// The engine from which it first copies the prompt's start.
-    pub fetch: Option<Arc<Target>>,
-    /// Tokens that are to be read.
+    /// The engine from which it first copies the cached prefix.
+    pub fetch_from: Option<Arc<Target>>,
+    /// Tokens left to prefill.
     pub tokens: u64,
-    /// Tokens that waited there before it.
-    pub waiting: u64,
-    /// Whether it may be sent there.
+    /// Tokens that were queued there before it.
+    pub queued_tokens: u64,
+    /// Whether the request may be sent there.
     pub permit: Permit,
-    /// The booking.
+    /// The reservation.
     pub reservation: Reservation,
 }
 
-/// Finds an engine that reads a prompt and books it there; `tried` are those that did not read it.
+/// Finds an engine for the prefill of a prompt and reserves it there; `tried` are the engines that
+/// did not prefill it.
 pub async fn find(
-    job: &Job,
+    request: &RequestContext,
     prompt: &Prompt,
-    wanted: &prefill::Prompt,
+    requirements: &prefill::Prompt,
     tried: &[Arc<Target>],
-) -> Found {
-    let groups = job.shared.groups(&job.service.name);
-    let mut search =
-        Search { job, prompt, wanted, tried, holder: None, soonest: None, unheard: Vec::new() };
-    let mut writes = None;
-    let order = order(&groups, wanted.prefix_hash);
+) -> SearchResult {
+    let groups = request.shared.groups(&request.service.name);
+    let mut search = Search {
+        request,
+        prompt,
+        requirements,
+        tried,
+        cached_prefix: None,
+        retry_after: None,
+        unanswered: Vec::new(),
+    };
+    let mut decode_group = None;
+    let order = group_order(&groups, requirements.prefix_hash);
     for (asked, &at) in order.iter().enumerate() {
-        match search.ask(&groups[at], false).await {
-            Reply::Booked(reserved) => return Found::Booked(reserved),
-            Reply::Full { writer } => {
-                if writer {
-                    writes.get_or_insert(at);
+        match search.ask_group(&groups[at], false).await {
+            GroupReply::Reserved(reserved) => return SearchResult::Reserved(reserved),
+            GroupReply::Full { decode_engine } => {
+                if decode_engine {
+                    decode_group.get_or_insert(at);
                 }
             }
-            // Neither of two answers: more likely this entry's own link is full or cut than theirs. To
-            // wait for those of each other group as well would cost the caller half of the objective.
-            Reply::Silence => {
+            // Neither of two coordinators answered: more likely this entry's own link is full or
+            // cut than theirs. Waiting for those of each other group as well would cost the caller
+            // half of the objective.
+            GroupReply::NoAnswer => {
                 let rest = order[asked..].iter().flat_map(|&at| &groups[at].engines);
-                search.unheard.extend(rest.cloned());
+                search.unanswered.extend(rest.cloned());
                 break;
             }
         }
     }
-    // Only where nobody who only reads has room is it asked of those that write.
-    if let Some(at) = writes
-        && let Reply::Booked(reserved) = search.ask(&groups[at], true).await
+    // Decode engines are asked only where no prefill engine has room.
+    if let Some(at) = decode_group
+        && let GroupReply::Reserved(reserved) = search.ask_group(&groups[at], true).await
     {
-        return Found::Booked(reserved);
+        return SearchResult::Reserved(reserved);
     }
-    search.end()
+    search.finish()
 }
 
 /// A search for an engine, over the groups asked so far.
 struct Search<'a> {
-    job: &'a Job,
+    request: &'a RequestContext,
     prompt: &'a Prompt,
-    wanted: &'a prefill::Prompt,
+    requirements: &'a prefill::Prompt,
     tried: &'a [Arc<Target>],
-    /// The engine that keeps most of the prompt's start.
-    holder: Option<CachedPrefix>,
+    /// The engine that has cached most of the prompt's prefix.
+    cached_prefix: Option<CachedPrefix>,
     /// When some group will have room.
-    soonest: Option<Duration>,
+    retry_after: Option<Duration>,
     /// Engines of groups for which nobody answered.
-    unheard: Vec<Arc<Target>>,
+    unanswered: Vec<Arc<Target>>,
 }
 
-/// What asking for one group came to.
-enum Reply {
-    Booked(Reserved),
-    /// It has no room, unless at an engine that writes.
+/// The result of asking the coordinators of one group.
+enum GroupReply {
+    Reserved(ReservedEngine),
+    /// It has no room, except perhaps at a decode engine.
     Full {
-        writer: bool,
+        decode_engine: bool,
     },
-    Silence,
+    NoAnswer,
 }
 
 impl Search<'_> {
-    async fn ask(&mut self, group: &Group, writers: bool) -> Reply {
-        let make = |booking| Payload::PrefillRequest(self.question(group, writers, booking));
-        let objective = self.wanted.objective;
-        let Some((answer, coordinator)) =
-            coordinator_client::ask(self.job, group, objective, make).await
+    async fn ask_group(&mut self, group: &Group, use_decode_engines: bool) -> GroupReply {
+        let make_payload =
+            |id| Payload::PrefillRequest(self.prefill_request(group, use_decode_engines, id));
+        let objective = self.requirements.objective;
+        let Some((response, coordinator)) =
+            coordinator_client::call(self.request, group, objective, make_payload).await
         else {
-            return Reply::Silence;
+            return GroupReply::NoAnswer;
         };
-        match answer.decision {
+        match response.decision {
             Some(Decision::Granted(granted)) => {
-                match self.booked(&granted, answer.reservation, &coordinator) {
-                    Some(reserved) => Reply::Booked(reserved),
-                    None => Reply::Silence,
+                match self.accept_grant(&granted, response.reservation, &coordinator) {
+                    Some(reserved) => GroupReply::Reserved(reserved),
+                    None => GroupReply::NoAnswer,
                 }
             }
-            Some(Decision::Refused(full)) => self.full(&full),
-            Some(Decision::Permitted(_)) | None => Reply::Silence,
+            Some(Decision::Refused(refused)) => self.record_refusal(&refused),
+            Some(Decision::Permitted(_)) | None => GroupReply::NoAnswer,
         }
     }
 
-    fn question(&self, group: &Group, writers: bool, booking: ReservationId) -> PrefillRequest {
+    fn prefill_request(
+        &self,
+        group: &Group,
+        use_decode_engines: bool,
+        id: ReservationId,
+    ) -> PrefillRequest {
         let now = Instant::now();
-        let away = |engine: &&Arc<Target>| engine.is_unavailable(self.job.patience(), now);
-        let tried = self.tried.iter().chain(group.engines.iter().filter(away));
-        // Who is asked may still list them.
-        let leaving = self.job.shared.workload.availability.leaving(now);
+        let unavailable =
+            |engine: &&Arc<Target>| engine.is_unavailable(self.request.unresponsive_after(), now);
+        let tried = self.tried.iter().chain(group.engines.iter().filter(unavailable));
+        // The coordinator may still list them.
+        let leaving = self.request.shared.workload.availability.leaving(now);
         let avoid = tried.map(|engine| engine.key).chain(leaving);
         PrefillRequest {
-            reservation: booking,
+            reservation: id,
             group: group.key,
-            service: short_hash(policy::hash(&self.job.service.name)),
-            prefix_hash: self.wanted.prefix_hash,
+            service: short_hash(policy::hash(&self.request.service.name)),
+            prefix_hash: self.requirements.prefix_hash,
             tokens: self.prompt.input_tokens,
-            objective_ms: u32::try_from(self.wanted.objective.as_millis()).unwrap_or(u32::MAX),
-            late: self.wanted.late,
+            objective_ms: u32::try_from(self.requirements.objective.as_millis())
+                .unwrap_or(u32::MAX),
+            late: self.requirements.late,
             parts: Some(Parts::new(&self.prompt.parts)),
             avoid: avoid.map(short_hash).collect(),
-            decode_engines: writers,
-            cached_prefix: self.holder,
-            requester: Some(self.job.asker()),
+            decode_engines: use_decode_engines,
+            cached_prefix: self.cached_prefix,
+            requester: Some(self.request.requester()),
         }
     }
 
-    fn booked(
+    fn accept_grant(
         &self,
         granted: &Granted,
-        booking: ReservationId,
+        id: ReservationId,
         coordinator: &Member,
-    ) -> Option<Reserved> {
-        let shared = &self.job.shared;
+    ) -> Option<ReservedEngine> {
+        let shared = &self.request.shared;
         let engines = shared.fleet().engines();
         let find = |key: u32| engines.iter().find(|engine| short_hash(engine.key) == key).cloned();
-        // One that is not listed here yet.
+        // `None` if the engine is not listed here yet.
         let engine = find(granted.engine)?;
-        let start = Some(self.wanted.prefix_hash);
-        let reservation = Reservation::new(shared, &engine, booking, *coordinator, start);
-        let fetch = find(granted.copy_from);
-        let Granted { tokens, waiting, permit, .. } = *granted;
-        let permit = Permit::of(permit);
-        Some(Reserved { engine, fetch, tokens, waiting, permit, reservation })
+        let prefix_hash = Some(self.requirements.prefix_hash);
+        let reservation = Reservation::new(shared, &engine, id, *coordinator, prefix_hash);
+        let fetch_from = find(granted.copy_from);
+        let Granted { tokens, waiting: queued_tokens, permit, .. } = *granted;
+        let permit = Permit::from_grant(permit);
+        Some(ReservedEngine { engine, fetch_from, tokens, queued_tokens, permit, reservation })
     }
 
-    fn full(&mut self, full: &Refused) -> Reply {
-        let after = Duration::from_micros(full.retry_after_us);
-        self.soonest = Some(self.soonest.map_or(after, |soonest| soonest.min(after)));
-        let kept = |holder: Option<CachedPrefix>| holder.map_or(0, |holder| holder.tokens);
-        if kept(full.cached_prefix) > kept(self.holder) {
-            self.holder = full.cached_prefix;
+    fn record_refusal(&mut self, refused: &Refused) -> GroupReply {
+        let delay = Duration::from_micros(refused.retry_after_us);
+        self.retry_after =
+            Some(self.retry_after.map_or(delay, |retry_after| retry_after.min(delay)));
+        let tokens = |prefix: Option<CachedPrefix>| prefix.map_or(0, |prefix| prefix.tokens);
+        if tokens(refused.cached_prefix) > tokens(self.cached_prefix) {
+            self.cached_prefix = refused.cached_prefix;
         }
-        Reply::Full { writer: full.decode_engine }
+        GroupReply::Full { decode_engine: refused.decode_engine }
     }
 
-    fn end(self) -> Found {
-        match self.soonest {
-            Some(soonest) if self.unheard.is_empty() => {
-                let kept = self.holder.map_or(0, |holder| holder.tokens.into());
-                Found::Full { soonest, kept }
+    fn finish(self) -> SearchResult {
+        match self.retry_after {
+            Some(retry_after) if self.unanswered.is_empty() => {
+                let cached_tokens = self.cached_prefix.map_or(0, |prefix| prefix.tokens.into());
+                SearchResult::Full { retry_after, cached_tokens }
             }
-            _ => Found::Unheard(self.unheard),
+            _ => SearchResult::Unanswered(self.unanswered),
         }
     }
 }
--- a/crates/direct/src/request/relay.rs
+++ b/crates/direct/src/request/relay.rs
@@ -1,6 +1,7 @@
-//! Passes a target's answer on as it comes, and goes on elsewhere if a resumable stream breaks.
+//! Forwards a target's response as it arrives, and resumes a resumable stream at another target if
+//! it breaks.
 
-use crate::request::events::Events;
+use crate::request::events::EventBuffer;
 use crate::request::reservation::Reservation;
 use crate::request::trace::{COMPLETE, Trace};
 use crate::targets::attempt::Answered;
@@ -18,13 +19,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep};
 
-/// The result of making an answer's body.
+/// The result of producing a response body.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a body ends early; the connection to the caller is closed then, so that the answer does not
-/// look complete.
+/// Why a body ends early. The connection to the caller is then closed, so that the response does
+/// not look complete.
 #[derive(Debug, Clone, thiserror::Error)]
-#[error("the answer was cut off: {0}")]
+#[error("response aborted before its end: {0}")]
 pub struct Error(pub compact_str::CompactString);
 
 /// What is booked at a target while it works on a request.
@@ -32,20 +33,20 @@
 pub struct Booking {
     /// The target.
     pub target: Arc<Target>,
-    /// The request.
-    pub entered: InFlightRequest,
-    /// Its prompt, until the first event.
-    pub reading: Option<PrefillGuard>,
+    /// The request in flight there.
+    pub in_flight: InFlightRequest,
+    /// The prefill of its prompt, until the first event.
+    pub prefill: Option<PrefillGuard>,
     /// Its stream.
-    pub writing: Option<StreamGuard>,
-    /// Its place, where another entry coordinates the engine.
-    pub place: Option<Reservation>,
+    pub stream: Option<StreamGuard>,
+    /// Its decode slot, where another entry coordinates the engine.
+    pub reservation: Option<Reservation>,
 }
 
-/// A target's answer on its way, with what it occupies.
+/// A target's response that is being received, with what is booked for it.
 #[derive(Debug)]
 pub struct Source {
-    /// The answer.
+    /// The response.
     pub answered: Box<Answered>,
     /// What is booked for it.
     pub booking: Booking,
@@ -53,184 +54,194 @@
 
 /// Finds another target for the rest of a stream.
 pub trait Resume: Send {
-    /// Starts the stream after the event with this id elsewhere; `None` if it can't be.
+    /// Resumes the stream elsewhere after the event with this id; `None` if that is not possible.
     fn resume(
         &self,
-        after: Option<u64>,
+        last_event_id: Option<u64>,
         failed: &Arc<Target>,
     ) -> Pin<Box<dyn Future<Output = Option<Source>> + Send>>;
 }
 
-/// The body of an answer that is passed on.
+/// The body of a forwarded response.
 pub struct Relay {
     state: State,
-    until: Pin<Box<Sleep>>,
+    deadline: Pin<Box<Sleep>>,
     resume: Option<Box<dyn Resume>>,
-    events: Option<Events>,
+    events: Option<EventBuffer>,
     trace: Trace,
-    hint: SizeHint,
+    size_hint: SizeHint,
 }
 
 enum State {
-    Open(Box<Open>),
+    Streaming(Box<ActiveResponse>),
     Resuming(Pin<Box<dyn Future<Output = Option<Source>> + Send>>),
-    /// It is to be cut, for this reason.
-    Cutting(&'static str),
+    /// To be aborted for this reason.
+    Aborting(&'static str),
     Done,
 }
 
-struct Open {
+struct ActiveResponse {
     body: Incoming,
     connection: Connection,
-    idle: Option<Duration>,
+    keep_alive: Option<Duration>,
     booking: Booking,
 }
 
-/// How long after the last moment at which the target may work its own failure is waited for. It
-/// says more than one of ours, and takes a round trip.
-pub const LAST_WORD: Duration = Duration::from_millis(150);
+/// How long after its deadline the target's own failure response is waited for. That response is
+/// more informative than one made here, and takes a round trip.
+pub const RESPONSE_GRACE: Duration = Duration::from_millis(150);
 
 impl Relay {
-    /// Passes `source` on until `until` at the latest.
+    /// Forwards `source` until `deadline` at the latest.
     pub fn new(
         source: Source,
-        until: Instant,
+        deadline: Instant,
         resume: Option<Box<dyn Resume>>,
         trace: Trace,
     ) -> Self {
-        let events = resume.is_some().then(Events::default);
-        let open = Open::new(source);
-        let hint = if events.is_some() { SizeHint::default() } else { open.body.size_hint() };
-        let until = Box::pin(tokio::time::sleep_until(until + LAST_WORD));
-        Self { state: State::Open(Box::new(open)), until, resume, events, trace, hint }
+        let events = resume.is_some().then(EventBuffer::default);
+        let active = ActiveResponse::new(source);
+        let size_hint =
+            if events.is_some() { SizeHint::default() } else { active.body.size_hint() };
+        let deadline = Box::pin(tokio::time::sleep_until(deadline + RESPONSE_GRACE));
+        Self {
+            state: State::Streaming(Box::new(active)),
+            deadline,
+            resume,
+            events,
+            trace,
+            size_hint,
+        }
     }
 
-    /// Whether nothing more comes.
+    /// Whether nothing more follows.
     pub fn is_complete(&self) -> bool {
         matches!(self.state, State::Done)
     }
 
     /// What is known of the size of the whole body.
     pub fn size_hint(&self) -> SizeHint {
-        self.hint
+        self.size_hint
     }
 
     /// The next piece.
     pub fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>>>> {
         loop {
-            let step = match &mut self.state {
+            let frame = match &mut self.state {
                 State::Done => return Poll::Ready(None),
-                State::Cutting(why) => {
-                    let error = Error((*why).into());
+                State::Aborting(reason) => {
+                    let error = Error((*reason).into());
                     self.state = State::Done;
                     return Poll::Ready(Some(Err(error)));
                 }
-                State::Open(open) => match Pin::new(&mut open.body).poll_frame(context) {
+                State::Streaming(active) => match Pin::new(&mut active.body).poll_frame(context) {
                     Poll::Pending => break,
-                    Poll::Ready(step) => step,
+                    Poll::Ready(frame) => frame,
                 },
-                State::Resuming(next) => match next.as_mut().poll(context) {
+                State::Resuming(resumed) => match resumed.as_mut().poll(context) {
                     Poll::Pending => break,
                     Poll::Ready(Some(source)) => {
-                        self.state = State::Open(Box::new(Open::new(source)));
+                        self.state = State::Streaming(Box::new(ActiveResponse::new(source)));
                         continue;
                     }
-                    Poll::Ready(None) => return self.cut("not-resumed", context),
+                    Poll::Ready(None) => return self.abort("not-resumed", context),
                 },
             };
-            match step {
+            match frame {
                 Some(Ok(frame)) => {
-                    let Some(bytes) = self.take(frame) else { continue };
-                    self.trace.piece();
-                    // The server asks for no further piece once the known length is reached, so
-                    // the end is noticed here, or the connection would be lost.
-                    if self.has_ended() {
+                    let Some(bytes) = self.accept_frame(frame) else { continue };
+                    self.trace.record_piece();
+                    // The server polls for no further piece once the known length is reached. The
+                    // end has to be noticed here, or the connection would be lost.
+                    if self.is_end_of_response() {
                         self.finish();
                     }
                     return Poll::Ready(Some(Ok(Frame::data(bytes))));
                 }
                 None => return self.complete(),
                 Some(Err(error)) => {
-                    if !self.break_off(&error.to_compact_string()) {
-                        return self.cut("broken-off", context);
+                    if !self.start_resume(&error.to_compact_string()) {
+                        return self.abort("broken-off", context);
                     }
                 }
             }
         }
-        match self.until.as_mut().poll(context) {
+        match self.deadline.as_mut().poll(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(()) => self.cut("time-up", context),
+            Poll::Ready(()) => self.abort("time-up", context),
         }
     }
 
-    fn take(&mut self, frame: Frame<Bytes>) -> Option<Bytes> {
+    fn accept_frame(&mut self, frame: Frame<Bytes>) -> Option<Bytes> {
         let bytes = frame.into_data().ok()?;
-        if let State::Open(open) = &mut self.state {
-            open.booking.reading = None;
-            open.booking.target.record_activity(Instant::now());
+        if let State::Streaming(active) = &mut self.state {
+            active.booking.prefill = None;
+            active.booking.target.record_activity(Instant::now());
         }
         let bytes = match &mut self.events {
-            Some(events) => events.take(&bytes),
+            Some(events) => events.push(&bytes),
             None => bytes,
         };
         (!bytes.is_empty()).then_some(bytes)
     }
 
-    /// Whether the target has sent all, and nothing of it is held back here.
-    fn has_ended(&self) -> bool {
+    /// Whether the target has sent everything and nothing of it is held back here.
+    fn is_end_of_response(&self) -> bool {
         match &self.state {
-            State::Open(open) => self.events.is_none() && open.body.is_end_stream(),
-            State::Resuming(_) | State::Cutting(_) | State::Done => false,
+            State::Streaming(active) => self.events.is_none() && active.body.is_end_stream(),
+            State::Resuming(_) | State::Aborting(_) | State::Done => false,
         }
     }
 
     fn finish(&mut self) {
-        if let State::Open(open) = std::mem::replace(&mut self.state, State::Done) {
-            open.connection.keep(open.idle, Instant::now());
+        if let State::Streaming(active) = std::mem::replace(&mut self.state, State::Done) {
+            active.connection.keep(active.keep_alive, Instant::now());
         }
         self.trace.end(COMPLETE);
     }
 
     fn complete(&mut self) -> Poll<Option<Result<Frame<Bytes>>>> {
         self.finish();
-        let rest = self.events.as_mut().map(Events::rest).unwrap_or_default();
-        Poll::Ready((!rest.is_empty()).then_some(Ok(Frame::data(rest))))
+        let partial = self.events.as_mut().map(EventBuffer::take_partial).unwrap_or_default();
+        Poll::Ready((!partial.is_empty()).then_some(Ok(Frame::data(partial))))
     }
 
-    /// Notes that the target broke off and begins to look for another; `false` if there can't be.
-    fn break_off(&mut self, detail: &str) -> bool {
-        let State::Open(open) = std::mem::replace(&mut self.state, State::Done) else {
+    /// Records that the target broke the response off and starts to look for another one; `false`
+    /// if the response can't be resumed.
+    fn start_resume(&mut self, detail: &str) -> bool {
+        let State::Streaming(active) = std::mem::replace(&mut self.state, State::Done) else {
             return false;
         };
-        let target = open.booking.target.clone();
+        let target = active.booking.target.clone();
         target.record_health(Health::Failing, Instant::now());
-        self.trace.broke_off(&target.id, detail);
+        self.trace.record_broken_response(&target.id, detail);
         let (Some(resume), Some(events)) = (&self.resume, &mut self.events) else { return false };
-        events.drop_rest();
-        self.state = State::Resuming(resume.resume(events.last(), &target));
+        events.discard_partial();
+        self.state = State::Resuming(resume.resume(events.last_id(), &target));
         true
     }
 
-    /// Ends the answer early, in the next turn: until the server has nothing more to take, it does not send the
-    /// head and the pieces that it has taken, and the caller would get nothing at all.
-    fn cut(
+    /// Aborts the response, at the next poll: the server does not flush the head and the pieces
+    /// that it has taken until the body has nothing more to offer, and otherwise the caller would
+    /// receive nothing at all.
+    fn abort(
         &mut self,
-        why: &'static str,
+        reason: &'static str,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>>>> {
-        self.state = State::Cutting(why);
-        self.trace.end(why);
+        self.state = State::Aborting(reason);
+        self.trace.end(reason);
         context.waker().wake_by_ref();
         Poll::Pending
     }
 }
 
-impl Open {
+impl ActiveResponse {
     fn new(source: Source) -> Self {
         let Source { answered, booking } = source;
         let Answered { response, head, connection } = *answered;
         let body = response.into_body();
-        Self { body, connection, idle: head.keep_alive, booking }
+        Self { body, connection, keep_alive: head.keep_alive, booking }
     }
 }
 
--- a/crates/direct/src/request/reservation.rs
+++ b/crates/direct/src/request/reservation.rs
@@ -1,4 +1,4 @@
-//! Bookings at coordinators, and what they are told of engines.
+//! Reservations at coordinators, and the reports on engines that are sent to them.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
@@ -12,50 +12,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A booking at a coordinator, of a prompt to be read or a place for a stream. Dropped, it ends as that
-/// of a prompt that was not read.
+/// A reservation at a coordinator, for a prompt's prefill or for a decode slot. If it is dropped,
+/// it ends like that of a prompt that was not prefilled.
 #[must_use]
 pub struct Reservation {
     shared: Arc<Shared>,
     engine: Arc<Target>,
-    booking: ReservationId,
+    id: ReservationId,
     coordinator: Member,
-    /// The hash of the prompt's longest shared start, if it is one of a prompt and not of a stream.
-    start: Option<Hash>,
+    /// The prefix hash of the prompt; `None` if the reservation is for a decode slot.
+    prefix_hash: Option<Hash>,
     ended: bool,
 }
 
 impl Reservation {
-    /// A booking at `coordinator`: of a prompt that begins with `start`, or of a place for a stream.
+    /// A reservation at `coordinator`: for a prompt with this prefix hash, or for a decode slot.
     pub fn new(
         shared: &Arc<Shared>,
         engine: &Arc<Target>,
-        booking: ReservationId,
+        id: ReservationId,
         coordinator: Member,
-        start: Option<Hash>,
+        prefix_hash: Option<Hash>,
     ) -> Self {
         let (shared, engine) = (shared.clone(), engine.clone());
-        Self { shared, engine, booking, coordinator, start, ended: false }
+        Self { shared, engine, id, coordinator, prefix_hash, ended: false }
     }
 
-    /// Ends it: the engine has read the prompt and keeps these parts.
-    pub fn read(mut self, parts: &[Part]) {
+    /// Ends it: the engine has prefilled the prompt and caches these parts.
+    pub fn complete(mut self, parts: &[Part]) {
         self.end(Some(Parts::new(parts)), false);
     }
 
-    /// Ends it: the engine could not be reached or broke off.
-    pub fn failed(mut self) {
+    /// Ends it: the engine could not be reached or broke the connection.
+    pub fn fail(mut self) {
         self.end(None, true);
     }
 
-    fn end(&mut self, kept: Option<Parts>, failed: bool) {
+    fn end(&mut self, cached_parts: Option<Parts>, failed: bool) {
         self.ended = true;
         let engine = short_hash(self.engine.key);
         let report =
-            Report { reservation: self.booking, engine, cached: kept, failed, transfer: None };
-        let told = self.start.map(|start| tell(&self.shared, &self.engine, start, &report));
-        if !told.unwrap_or_default().contains(&self.coordinator) {
-            send(&self.shared, &self.coordinator, report);
+            Report { reservation: self.id, engine, cached: cached_parts, failed, transfer: None };
+        let notified = self.prefix_hash.map(|prefix_hash| {
+            send_to_coordinators(&self.shared, &self.engine, prefix_hash, &report)
+        });
+        if !notified.unwrap_or_default().contains(&self.coordinator) {
+            send_report(&self.shared, &self.coordinator, report);
         }
     }
 }
@@ -68,69 +70,86 @@
     }
 }
 
-/// Tells those that coordinate an engine that it keeps these parts, though nothing was booked there.
-pub fn keeps(shared: &Shared, engine: &Target, start: Hash, parts: &[Part]) {
-    let kept = Some(Parts::new(parts));
-    tell(
+/// Reports to an engine's coordinators that it caches these parts, though nothing was reserved
+/// there.
+pub fn publish_cached(shared: &Shared, engine: &Target, prefix_hash: Hash, parts: &[Part]) {
+    let cached_parts = Some(Parts::new(parts));
+    send_to_coordinators(
         shared,
         engine,
-        start,
-        &Report { engine: short_hash(engine.key), cached: kept, ..Report::default() },
+        prefix_hash,
+        &Report { engine: short_hash(engine.key), cached: cached_parts, ..Report::default() },
     );
 }
 
-/// Tells those that coordinate either of two engines how long KV cache took from one to the other.
+/// Reports to the coordinators of either of two engines how long a transfer of KV cache between
+/// them took.
 ///
-/// A link that is slow makes all that is sent over it late. An entry moves a few KV caches a second to
-/// each engine, so that alone it notices after seconds, and each of many entries does so for itself.
-pub fn moved(shared: &Shared, from: &Target, to: &Target, took: Duration) {
-    let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
-    let moved = Some(Transfer { source: short_hash(from.key), duration_us: took_us });
-    let report = Report { engine: short_hash(to.key), transfer: moved, ..Report::default() };
-    let groups = shared.groups(&to.service);
-    let ends = [from.key, to.key];
-    let concerned = |group: &&Group| group.engines.iter().any(|e| ends.contains(&e.key));
-    let mut told: Vec<Member> = Vec::new();
-    for coordinator in groups.iter().filter(concerned).flat_map(|group| &group.coordinators) {
-        // This entry has noted it already.
-        if coordinator.address.is_some() && !told.contains(coordinator) {
-            send(shared, coordinator, report.clone());
-            told.push(*coordinator);
+/// A slow link delays everything that is sent over it. An entry transfers a few KV caches a second
+/// to each engine, so by itself it would notice only after seconds, and so would each of many
+/// entries.
+pub fn publish_transfer(
+    shared: &Shared,
+    source: &Target,
+    destination: &Target,
+    duration: Duration,
+) {
+    let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
+    let measured = Some(Transfer { source: short_hash(source.key), duration_us: micros });
+    let report =
+        Report { engine: short_hash(destination.key), transfer: measured, ..Report::default() };
+    let groups = shared.groups(&destination.service);
+    let endpoints = [source.key, destination.key];
+    let involves_either =
+        |group: &&Group| group.engines.iter().any(|engine| endpoints.contains(&engine.key));
+    let mut notified: Vec<Member> = Vec::new();
+    for coordinator in groups.iter().filter(involves_either).flat_map(|group| &group.coordinators) {
+        // This entry has recorded it already.
+        if coordinator.address.is_some() && !notified.contains(coordinator) {
+            send_report(shared, coordinator, report.clone());
+            notified.push(*coordinator);
         }
     }
 }
 
-/// Tells a report to those that coordinate the engine's group and, if it says what the engine keeps, to
-/// those of the group that is asked first for prompts with this start. Returns whom it told.
+/// Sends a report to the coordinators of the engine's group and, if it lists cached parts, also to
+/// those of the group that is asked first for prompts with this prefix hash. Returns whom it was
+/// sent to.
 ///
-/// A start is looked for where its prompts ask first, but it is also kept by the engines of other
-/// failure domains that wrote for it or read it while the first were full. Told to the engine's own
-/// group alone, twice as many tokens of shared parts were read again on a small pool.
-fn tell(shared: &Shared, engine: &Target, start: Hash, report: &Report) -> Vec<Member> {
+/// A cached prefix is looked for in the group that its prompts ask first, but engines of other
+/// failure domains also cache it after they decoded for it or prefilled it while the first were
+/// full. When reports went to the engine's own group alone, twice as many tokens of shared parts
+/// were prefilled again on a small pool.
+fn send_to_coordinators(
+    shared: &Shared,
+    engine: &Target,
+    prefix_hash: Hash,
+    report: &Report,
+) -> Vec<Member> {
     let groups = shared.groups(&engine.service);
-    let listed = |group: &&Group| group.engines.iter().any(|other| other.key == engine.key);
-    let own = groups.iter().find(listed);
-    let first = order(&groups, start).first().map(|&at| &groups[at]);
+    let lists_engine = |group: &&Group| group.engines.iter().any(|other| other.key == engine.key);
+    let own = groups.iter().find(lists_engine);
+    let first = group_order(&groups, prefix_hash).first().map(|&at| &groups[at]);
     let first = first.filter(|_| report.cached.is_some());
-    let mut told: Vec<Member> = Vec::new();
+    let mut notified: Vec<Member> = Vec::new();
     for coordinator in own.into_iter().chain(first).flat_map(|group| &group.coordinators) {
-        if !told.contains(coordinator) {
-            send(shared, coordinator, report.clone());
-            told.push(*coordinator);
+        if !notified.contains(coordinator) {
+            send_report(shared, coordinator, report.clone());
+            notified.push(*coordinator);
         }
     }
-    told
+    notified
 }
 
-/// The order in which groups are asked for prompts with this start.
-pub fn order(all: &[Group], start: Hash) -> Vec<usize> {
+/// The order in which groups are asked for prompts with this prefix hash.
+pub fn group_order(all: &[Group], prefix_hash: Hash) -> Vec<usize> {
     let keys: Vec<Hash> = all.iter().map(|group| group.key).collect();
-    let mut order = groups::order(&keys, start);
+    let mut order = groups::order(&keys, prefix_hash);
     order.truncate(groups::Settings::default().asked);
     order
 }
 
-fn send(shared: &Shared, coordinator: &Member, report: Report) {
+fn send_report(shared: &Shared, coordinator: &Member, report: Report) {
     match coordinator.address {
         Some(address) => shared.post.send(Payload::Report(report), address),
         None => coordination::apply_report(shared, &report),
@@ -139,6 +158,6 @@
 
 impl std::fmt::Debug for Reservation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Reservation").field("booking", &self.booking).finish_non_exhaustive()
+        f.debug_struct("Reservation").field("booking", &self.id).finish_non_exhaustive()
     }
 }
--- a/crates/direct/src/request/response.rs
+++ b/crates/direct/src/request/response.rs
@@ -1,5 +1,5 @@
-//! The answers of this process itself: refusals that promise the request has not run, and failures
-//! that promise nothing.
+//! The responses that this process makes itself: refusals, which guarantee that the request has not
+//! run, and failures, which guarantee nothing.
 
 use crate::request::relay::{Error, Relay, Result};
 use bytes::Bytes;
@@ -9,25 +9,25 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Why a request was not run. All of these are true promises: it will not run later either.
+/// Why a request was not run. Each variant guarantees that it will not run later either.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// This process knows no configuration yet.
+    /// This process has no configuration yet.
     NoConfiguration,
-    /// It is not known whether the customer's key still holds.
-    KeysUnsure,
+    /// The configuration is too old to decide whether the customer's key is still valid.
+    KeysStale,
     /// The service has no target that could be tried.
     NoTarget,
-    /// All engines have more to read than they can in time.
-    PromptsFull,
-    /// No engine that writes can be reached.
-    NoWriter,
-    /// This process's own link has too much on its way.
+    /// Prefill queues are full: no engine can prefill the prompt in time.
+    PrefillFull,
+    /// No engine that decodes can be reached.
+    NoDecodeEngine,
+    /// This process's own link has too much queued.
     LinkFull,
     /// A target was tried and refused.
     TargetRefused,
-    /// All targets that could be tried named a limit and take in no more now.
-    Limited,
+    /// All targets that could be tried have a rate limit and accept no more now.
+    RateLimited,
     /// No target could be reached.
     Unreachable,
     /// The request crashed several targets.
@@ -36,13 +36,13 @@
     Stopping,
 }
 
-/// Why there is no answer, though the request may have run.
+/// Why there is no response, though the request may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// The connection to the target ended, or it sent no answer to this request.
+    /// The connection to the target ended, or the target sent no response to this request.
     Lost,
-    /// The route's timeout or the caller's deadline passed.
-    Late,
+    /// The route's timeout or the caller's deadline has passed.
+    TimedOut,
 }
 
 impl Refusal {
@@ -50,13 +50,13 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
-            Self::KeysUnsure => "keys-unsure",
+            Self::KeysStale => "keys-unsure",
             Self::NoTarget => "no-target",
-            Self::PromptsFull => "prompts-full",
-            Self::NoWriter => "no-writer",
+            Self::PrefillFull => "prompts-full",
+            Self::NoDecodeEngine => "no-writer",
             Self::LinkFull => "link-full",
             Self::TargetRefused => "target-refused",
-            Self::Limited => "limited",
+            Self::RateLimited => "limited",
             Self::Unreachable => "unreachable",
             Self::Quarantined => "quarantined",
             Self::Stopping => "stopping",
@@ -69,17 +69,17 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Lost => "lost",
-            Self::Late => "late",
+            Self::TimedOut => "late",
         }
     }
 }
 
-/// The body of an answer: this process's own, or what a target sends.
+/// The body of a response: made by this process, or forwarded from a target.
 #[derive(Debug)]
 pub enum Body {
-    /// Known in full.
-    Own(Full<Bytes>),
-    /// Passed on as it comes.
+    /// Made by this process and known in full.
+    Local(Full<Bytes>),
+    /// Forwarded as it arrives.
     Relay(Box<Relay>),
 }
 
@@ -92,40 +92,40 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<hyper::body::Frame<Bytes>>>> {
         match self.get_mut() {
-            Self::Own(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
+            Self::Local(body) => Pin::new(body).poll_frame(context).map_err(|never| match never {}),
             Self::Relay(relay) => relay.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Own(body) => body.is_end_stream(),
+            Self::Local(body) => body.is_end_stream(),
             Self::Relay(relay) => relay.is_complete(),
         }
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Own(body) => body.size_hint(),
+            Self::Local(body) => body.size_hint(),
             Self::Relay(relay) => relay.size_hint(),
         }
     }
 }
 
-/// A refusal that names when the caller should come back.
-pub fn refuse(refusal: Refusal, come_back: Duration) -> Response<Body> {
-    let mut response = own(StatusCode::SERVICE_UNAVAILABLE, refusal.name());
-    let seconds = format!("{:.3}", come_back.as_secs_f64());
+/// A refusal with the time after which the caller should retry.
+pub fn refuse(refusal: Refusal, retry_after: Duration) -> Response<Body> {
+    let mut response = local(StatusCode::SERVICE_UNAVAILABLE, refusal.name());
+    let seconds = format!("{:.3}", retry_after.as_secs_f64());
     if let Ok(value) = HeaderValue::from_str(&seconds) {
         response.headers_mut().insert(header::RETRY_AFTER, value);
     }
     response
 }
 
-/// The answer to a request that carries no key of a customer, the same whatever is wrong with it: what
-/// it said would help whoever guesses.
+/// The response to a request without a valid customer key. It is the same whatever is wrong with
+/// the key: any detail would help whoever guesses keys.
 pub fn unauthorized() -> Response<Body> {
-    let mut response = own(StatusCode::UNAUTHORIZED, "a customer's key is needed");
+    let mut response = local(StatusCode::UNAUTHORIZED, "a customer's key is needed");
     let challenge = HeaderValue::from_static("Bearer");
     response.headers_mut().insert(header::WWW_AUTHENTICATE, challenge);
     response
@@ -134,14 +134,14 @@
 /// A failure after which the caller can't know whether the request ran.
 pub fn fail(failure: Failure) -> Response<Body> {
     match failure {
-        Failure::Lost => own(StatusCode::BAD_GATEWAY, failure.name()),
-        Failure::Late => own(StatusCode::GATEWAY_TIMEOUT, failure.name()),
+        Failure::Lost => local(StatusCode::BAD_GATEWAY, failure.name()),
+        Failure::TimedOut => local(StatusCode::GATEWAY_TIMEOUT, failure.name()),
     }
 }
 
-/// An answer with a status and a word about it.
-pub fn own(status: StatusCode, text: &'static str) -> Response<Body> {
-    let mut response = Response::new(Body::Own(Full::new(Bytes::from_static(text.as_bytes()))));
+/// A response made here, with a status and a short plain text.
+pub fn local(status: StatusCode, text: &'static str) -> Response<Body> {
+    let mut response = Response::new(Body::Local(Full::new(Bytes::from_static(text.as_bytes()))));
     *response.status_mut() = status;
     let plain = HeaderValue::from_static("text/plain");
     response.headers_mut().insert(header::CONTENT_TYPE, plain);
--- a/crates/direct/src/request/server.rs
+++ b/crates/direct/src/request/server.rs
@@ -1,4 +1,5 @@
-//! Callers' connections: heads and bodies within limits, answers, and a stop that cuts nothing.
+//! The HTTP server for callers: reads heads and bodies within limits, responds, and shuts down
+//! without cutting off requests.
 
 use crate::buffered_request::BufferedRequest;
 use crate::config::route::Limits;
@@ -19,127 +20,128 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Limits while no configuration is known: a request is refused then in any case.
-const NO_LIMITS: Limits = Limits {
+/// The limits that apply while there is no configuration; each request is then refused in any case.
+const UNCONFIGURED_LIMITS: Limits = Limits {
     header_bytes: 16 * 1024,
     body_bytes: 4 * 1024 * 1024,
     idle_timeout: Duration::from_secs(15),
 };
 
-/// How much longer than the operators' limit a connection may be idle, so that it is not closed
-/// just as a caller that keeps to the limit uses it again.
-const IDLE_SLACK: f64 = 1.3;
+/// By which factor a connection may be idle for longer than the configured limit, so that it is not
+/// closed just as a caller that keeps to the limit uses it again.
+const IDLE_TIMEOUT_FACTOR: f64 = 1.3;
 
 /// The smallest buffer for a head that the HTTP library accepts, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// The pause after a connection could not be accepted, such as for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// The pause after a connection could not be accepted, such as for lack of file descriptors.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Callers' connections of one entry.
+/// The server for callers' connections to this entry.
 #[derive(Debug)]
 pub struct CallerServer {
-    open: AtomicUsize,
-    /// Set once answers are to be the last of their connections.
-    closing: CancellationToken,
-    /// Set once idle connections are closed.
-    ending: CancellationToken,
+    open_connections: AtomicUsize,
+    /// Cancelled once each response is to be the last on its connection.
+    close_after_response: CancellationToken,
+    /// Cancelled once idle connections are to be closed.
+    close_idle: CancellationToken,
 }
 
 impl CallerServer {
-    /// No connections yet.
-    pub fn new(closing: CancellationToken, ending: CancellationToken) -> Self {
-        Self { open: AtomicUsize::new(0), closing, ending }
+    /// Creates a server without connections.
+    pub fn new(close_after_response: CancellationToken, close_idle: CancellationToken) -> Self {
+        Self { open_connections: AtomicUsize::new(0), close_after_response, close_idle }
     }
 
     /// How many connections are open.
     pub fn open_connections(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_connections.load(Ordering::Relaxed)
     }
 
-    /// Accepts connections until `last` is cancelled.
+    /// Accepts connections until `stop_accepting` is cancelled.
     pub async fn accept(
         self: Arc<Self>,
         shared: Arc<Shared>,
         listener: TcpListener,
-        last: CancellationToken,
+        stop_accepting: CancellationToken,
     ) {
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = last.cancelled() => return,
+                () = stop_accepting.cancelled() => return,
             };
             match accepted {
                 Ok((stream, _)) => {
-                    self.open.fetch_add(1, Ordering::Relaxed);
-                    let (intake, shared) = (self.clone(), shared.clone());
+                    self.open_connections.fetch_add(1, Ordering::Relaxed);
+                    let (server, shared) = (self.clone(), shared.clone());
                     tokio::spawn(async move {
-                        intake.connection(shared, stream).await;
-                        intake.open.fetch_sub(1, Ordering::Relaxed);
+                        server.serve_connection(shared, stream).await;
+                        server.open_connections.fetch_sub(1, Ordering::Relaxed);
                     });
                 }
                 Err(error) => {
                     log::warn!(target: "intake", error:% = error; "connection not accepted");
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_BACKOFF).await;
                 }
             }
         }
     }
 
-    async fn connection(&self, shared: Arc<Shared>, stream: TcpStream) {
+    async fn serve_connection(&self, shared: Arc<Shared>, stream: TcpStream) {
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!(target: "intake", error:% = error; "socket option not set");
+            log::debug!(target: "intake", error:% = error; "TCP_NODELAY not set");
         }
         let limits = limits(&shared);
-        let closing = self.closing.clone();
+        let close_after_response = self.close_after_response.clone();
         let service = service_fn(move |request| {
-            let (shared, closing) = (shared.clone(), closing.clone());
-            async move { Ok::<_, Infallible>(respond(shared, request, &closing).await) }
+            let (shared, close) = (shared.clone(), close_after_response.clone());
+            async move { Ok::<_, Infallible>(respond(shared, request, &close).await) }
         });
         let mut builder = http1::Builder::new();
         builder
             .timer(TokioTimer::new())
-            .header_read_timeout(limits.idle_timeout.mul_f64(IDLE_SLACK))
-            .max_buf_size(limits.header_bytes.max(LEAST_BUFFER));
+            .header_read_timeout(limits.idle_timeout.mul_f64(IDLE_TIMEOUT_FACTOR))
+            .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES));
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let mut connection = std::pin::pin!(connection);
-        // One that comes when idle ones are closed already is new: it has a request to send, and
-        // its answer is its last. Closed before that, it would look like a failure to its caller.
-        let late = self.ending.is_cancelled();
-        let ended = tokio::select! {
-            ended = connection.as_mut() => ended,
-            () = self.ending.cancelled(), if !late => {
+        // A connection accepted after idle ones have been closed is new: its caller has a request
+        // to send, and the response is its last. Closed before that, it would look like a failure
+        // to its caller.
+        let accepted_while_closing = self.close_idle.is_cancelled();
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
+            () = self.close_idle.cancelled(), if !accepted_while_closing => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
-        if let Err(error) = ended {
-            log::debug!(target: "intake", error:% = error; "connection ended");
+        if let Err(error) = result {
+            log::debug!(target: "intake", error:% = error; "connection failed");
         }
     }
 }
 
 fn limits(shared: &Shared) -> Limits {
-    shared.table.borrow().as_ref().map_or(NO_LIMITS, |table| table.limits)
+    shared.table.borrow().as_ref().map_or(UNCONFIGURED_LIMITS, |table| table.limits)
 }
 
 async fn respond(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-    closing: &CancellationToken,
+    close_after_response: &CancellationToken,
 ) -> Response<Body> {
     let arrived = Instant::now();
-    let mut response = match read(limits(&shared), request).await {
-        Ok(content) => serve::serve(shared, content, arrived).await,
+    let mut response = match read_request(limits(&shared), request).await {
+        Ok(buffered) => serve::serve(shared, buffered, arrived).await,
         Err(response) => response,
     };
-    if closing.is_cancelled() {
+    if close_after_response.is_cancelled() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-async fn read(
+async fn read_request(
     limits: Limits,
     request: Request<Incoming>,
 ) -> Result<BufferedRequest, Response<Body>> {
@@ -148,10 +150,10 @@
     let body = match tokio::time::timeout(limits.idle_timeout, body).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            return Err(response::own(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
+            return Err(response::local(StatusCode::PAYLOAD_TOO_LARGE, "body too large"));
         }
-        Ok(Err(_)) => return Err(response::own(StatusCode::BAD_REQUEST, "body cut off")),
-        Err(_) => return Err(response::own(StatusCode::REQUEST_TIMEOUT, "body too slow")),
+        Ok(Err(_)) => return Err(response::local(StatusCode::BAD_REQUEST, "body cut off")),
+        Err(_) => return Err(response::local(StatusCode::REQUEST_TIMEOUT, "body too slow")),
     };
     Ok(BufferedRequest { method: head.method, path: head.uri, headers: head.headers, body })
 }
--- a/crates/direct/src/request/trace.rs
+++ b/crates/direct/src/request/trace.rs
@@ -1,4 +1,4 @@
-//! What is told of one request when it ends: one line in the log and the metrics.
+//! The record of one request: when it ends, one line in the log and its metrics.
 
 use crate::config::route::{RouteName, ServiceName};
 use crate::metrics::Outcome;
@@ -9,64 +9,71 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The outcome of a request whose answer was passed on whole.
+/// Outcome of a request whose response was forwarded whole.
 pub const COMPLETE: &str = "complete";
 
-/// The story of one request so far. Dropped before its end, it tells that the caller left.
+/// The record of one request so far. If it is dropped before [`Trace::end`], the caller has left.
 pub struct Trace {
-    /// The caller's id of the sending.
-    pub attempt: CompactString,
+    /// The caller's id of the attempt.
+    pub attempt_id: CompactString,
     /// The route's name.
     pub route: RouteName,
-    /// The configuration that decided.
-    pub version: u64,
-    /// When the head had been read.
+    /// The version of the configuration that the request was served by.
+    pub config_version: u64,
+    /// When its head was read.
     pub arrived: Instant,
-    /// Sendings to targets so far.
-    pub sendings: u32,
-    /// The targets tried, in order, with how each went.
+    /// Attempts at targets so far.
+    pub attempts: u32,
+    /// The targets tried, in order, each with its outcome.
     pub targets: CompactString,
-    /// The service of a generation, and the tokens of output in a piece.
-    pub output: Option<(ServiceName, u32)>,
-    first: Option<Instant>,
-    /// When the last piece went, once one has.
-    gaps: Option<(Histogram, Instant)>,
+    /// The service of a generation, and how many tokens of output a piece holds.
+    pub generation: Option<(ServiceName, u32)>,
+    first_piece_at: Option<Instant>,
+    /// When the last piece was forwarded, once one was.
+    piece_gaps: Option<(Histogram, Instant)>,
     ended: bool,
     shared: Arc<Shared>,
 }
 
 impl Trace {
-    /// Begins the story.
+    /// Starts the record of a request.
     pub fn new(
-        attempt: CompactString,
+        attempt_id: CompactString,
         route: RouteName,
-        version: u64,
+        config_version: u64,
         arrived: Instant,
         shared: Arc<Shared>,
     ) -> Self {
         Self {
-            attempt,
+            attempt_id,
             route,
-            version,
+            config_version,
             arrived,
-            sendings: 0,
+            attempts: 0,
             targets: CompactString::default(),
-            output: None,
-            first: None,
-            gaps: None,
+            generation: None,
+            first_piece_at: None,
+            piece_gaps: None,
             ended: false,
             shared,
         }
     }
 
-    /// Notes a sending, how it went and how many milliseconds it took, such as `read:i-1:ok:12`.
-    pub fn tried(&mut self, step: &str, target: &str, went: &'static str, took: Duration) {
-        self.shared.metrics.attempt(step, target, went, took);
+    /// Records an attempt with its outcome and its duration in milliseconds, such as
+    /// `read:i-1:ok:12`.
+    pub fn record_attempt(
+        &mut self,
+        step: &str,
+        target: &str,
+        outcome: &'static str,
+        duration: Duration,
+    ) {
+        self.shared.metrics.attempt(step, target, outcome, duration);
         if !self.targets.is_empty() {
             self.targets.push(',');
         }
-        let took = took.as_millis().to_compact_string();
-        for (index, text) in [step, target, went, took.as_str()].into_iter().enumerate() {
+        let millis = duration.as_millis().to_compact_string();
+        for (index, text) in [step, target, outcome, millis.as_str()].into_iter().enumerate() {
             if index > 0 {
                 self.targets.push(':');
             }
@@ -74,60 +81,63 @@
         }
     }
 
-    /// Notes that a piece is on its way to the caller.
-    pub fn piece(&mut self) {
+    /// Records that a piece is forwarded to the caller.
+    pub fn record_piece(&mut self) {
         let now = Instant::now();
-        match &mut self.gaps {
+        match &mut self.piece_gaps {
             Some((gaps, last)) => {
                 let gap = now - std::mem::replace(last, now);
                 gaps.observe(gap.as_secs_f64());
-                if let Some((service, tokens)) = &self.output {
+                if let Some((service, tokens)) = &self.generation {
                     self.shared.loads.record_decode(service, *tokens, gap);
                 }
             }
             None => {
-                self.first = Some(now);
+                self.first_piece_at = Some(now);
                 self.shared.metrics.first_piece(&self.route, now - self.arrived);
-                self.gaps = Some((self.shared.metrics.gaps(&self.route), now));
+                self.piece_gaps = Some((self.shared.metrics.gaps(&self.route), now));
             }
         }
     }
 
-    /// Notes that a target broke off in the middle of its answer.
-    pub fn broke_off(&mut self, target: &str, detail: &str) {
-        log::warn!(target: "request", id = self.attempt.as_str(), target_id = target, detail;
+    /// Logs that a target broke its response off.
+    pub fn record_broken_response(&mut self, target: &str, detail: &str) {
+        log::warn!(target: "request", id = self.attempt_id.as_str(), target_id = target, detail;
             "target broke off");
     }
 
-    /// Tells how the request ended.
+    /// Logs and counts how the request ended.
     pub fn end(&mut self, outcome: &'static str) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let took = self.arrived.elapsed();
-        self.shared.metrics.request_ended(&self.route, Outcome(outcome), took);
+        let duration = self.arrived.elapsed();
+        self.shared.metrics.request_ended(&self.route, Outcome(outcome), duration);
         if outcome == COMPLETE {
-            self.shared.durations.record(&self.route, took);
+            self.shared.durations.record(&self.route, duration);
         }
-        let first = self.first.map_or(-1.0, |first| (first - self.arrived).as_secs_f64() * 1e3);
-        let ms = took.as_secs_f64() * 1e3;
-        // Two events, so that in a burst the lines of requests that were not served are not dropped
-        // for want of room among those that were.
+        let first_ms =
+            self.first_piece_at.map_or(-1.0, |first| (first - self.arrived).as_secs_f64() * 1e3);
+        let ms = duration.as_secs_f64() * 1e3;
+        // Two different events, so that in a burst the lines of requests that were not served are
+        // not dropped for lack of room among those that were.
         if outcome == COMPLETE {
-            log::info!(target: "request", id = self.attempt.as_str(), route = self.route.as_str(),
-                version = self.version, outcome, sendings = self.sendings,
-                targets = self.targets.as_str(), first_ms:? = round(first), ms:? = round(ms);
+            log::info!(target: "request", id = self.attempt_id.as_str(),
+                route = self.route.as_str(), version = self.config_version, outcome,
+                sendings = self.attempts, targets = self.targets.as_str(),
+                first_ms:? = round(first_ms), ms:? = round(ms);
                 "request served");
         } else {
-            log::warn!(target: "request", id = self.attempt.as_str(), route = self.route.as_str(),
-                version = self.version, outcome, sendings = self.sendings,
-                targets = self.targets.as_str(), first_ms:? = round(first), ms:? = round(ms);
+            log::warn!(target: "request", id = self.attempt_id.as_str(),
+                route = self.route.as_str(), version = self.config_version, outcome,
+                sendings = self.attempts, targets = self.targets.as_str(),
+                first_ms:? = round(first_ms), ms:? = round(ms);
                 "request not served");
         }
     }
 }
 
-/// Milliseconds with one decimal: finer differences say nothing.
+/// Rounds milliseconds to one decimal: finer differences carry no information.
 fn round(ms: f64) -> f64 {
     (ms * 10.0).round() / 10.0
 }
