--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -1,14 +1,16 @@
-//! Bills what customers have used, window after window: the duty of one entry at a time.
+//! Bills what customers have used, window after window: the task of one entry at a time, the lease
+//! holder.
 //!
-//! The holder fixes the counts of a window in a stream of the log before it reports them. Whoever follows
-//! it finds there what may have been reported, and reports exactly that: a report without an answer may
-//! still be carried out later. The record is the lease as well, see [`policy::lease`], and its offset
-//! the fence. In a calm time a window costs one record and one report; the others hear of the record by
-//! datagram, and read the stream only when a bill is overdue.
+//! The holder commits the counts of a window to a stream of the log before it reports them. Its
+//! successor finds there what may have been reported and reports exactly that, because a report
+//! without an answer may still be carried out later. The record is also the lease, see
+//! [`policy::lease`], and its offset is the fencing token. Without faults a window costs one record
+//! and one report; the other entries receive the progress by datagram and read the stream only when
+//! a bill is overdue.
 //!
-//! **A log that comes back older** has lost bills that may have been reported. Another count for such a
-//! window would contradict them, so windows that ended before are billed only by who still knows their
-//! counts; for the others they are missed.
+//! **A log restored from an older copy** has lost bills that may have been reported. Another count
+//! for such a window would contradict them, so windows that ended before the restore are billed
+//! only by an entry that still has their counts; the others are skipped.
 
 mod record;
 
@@ -26,7 +28,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The stream.
+/// The stream that holds bills.
 pub const STREAM: &str = "lapismast.usage";
 
 /// What each customer used in a window.
@@ -38,55 +40,61 @@
     pub counts: Counts,
 }
 
-/// What became of a report that was answered.
+/// The outcome of a report that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// It is known.
+    /// The platform has accepted it.
     Accepted,
-    /// Somebody with a higher fence has reported.
+    /// A report with a higher fencing token has been accepted.
     Superseded,
 }
 
 /// Where usage is reported.
 #[async_trait]
 pub trait UsageReporter: Send + Sync {
-    /// Reports what customers used, as the node that has the duty under this fence. May be repeated.
-    async fn report(&self, holder: &str, fence: u64, bill: &Bill) -> plat::Result<ReportOutcome>;
+    /// Reports what customers used, as the node that holds the lease with this fencing token. May
+    /// be repeated.
+    async fn report(
+        &self,
+        holder: &str,
+        fencing_token: u64,
+        bill: &Bill,
+    ) -> plat::Result<ReportOutcome>;
 }
 
-/// Settings of the duty.
+/// Settings of billing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The length of a window.
     pub window: Duration,
-    /// For how long a holder has to have been silent before another may act.
+    /// For how long a holder must have been silent before another entry may act.
     pub lease: Duration,
 }
 
-/// After the end of a window the others' counts are waited for so long.
-const SETTLED: Duration = Duration::from_millis(900);
+/// How long after the end of a window the counts of the other entries are waited for.
+const SETTLE_DELAY: Duration = Duration::from_millis(900);
 
-/// How often it is looked at what is due.
-const TICK: Duration = Duration::from_millis(100);
+/// How often to check which windows are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The pause after a call that failed.
-const PAUSE: Duration = Duration::from_millis(300);
+/// The pause after a failed call.
+const ERROR_BACKOFF: Duration = Duration::from_millis(300);
 
-/// Windows in one record at most: after an outage many are due.
-const MAX_BILLS: u64 = 8;
+/// The most windows in one record: after an outage many are due.
+const MAX_BILLS_PER_RECORD: u64 = 8;
 
-/// Records read at once at most.
-const MAX_READ: usize = 256;
+/// The most records read at once.
+const MAX_RECORDS_PER_READ: usize = 256;
 
-/// Bills as long as the process lives.
+/// Bills for as long as the process lives.
 pub async fn run(
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    meter: Arc<dyn UsageReporter>,
+    reporter: Arc<dyn UsageReporter>,
     settings: Settings,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) {
-    let tenure = lease::Settings {
+    let lease_settings = lease::Settings {
         duration: Duration::from_secs(3),
         grace: settings.lease,
         overdue: Duration::from_millis(1_600),
@@ -95,21 +103,21 @@
     let mut biller = Biller {
         shared,
         log,
-        meter,
-        life,
-        settings: tenure,
-        tenure: Lease::default(),
-        end: 0,
-        next: None,
-        open: BTreeMap::new(),
-        appending: None,
-        fixed_in: 0,
+        reporter,
+        incarnation,
+        settings: lease_settings,
+        lease: Lease::default(),
+        stream_end: 0,
+        next_window: None,
+        unreported: BTreeMap::new(),
+        append_started: None,
+        committed_epoch: 0,
     };
     loop {
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if let Err(error) = biller.tick().await {
             log::info!(target: "billing", error:% = error; "bill put off");
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ERROR_BACKOFF).await;
         }
     }
 }
@@ -117,20 +125,20 @@
 struct Biller {
     shared: Arc<Shared>,
     log: Arc<dyn KeyedLog>,
-    meter: Arc<dyn UsageReporter>,
-    life: Incarnation,
+    reporter: Arc<dyn UsageReporter>,
+    incarnation: Incarnation,
     settings: lease::Settings,
-    tenure: Lease,
+    lease: Lease,
     /// The end of the stream, as far as it is known.
-    end: Offset,
-    /// The first window that is not fixed, as far as it is known.
-    next: Option<WindowIndex>,
-    /// Windows that are fixed and may not be known to the platform.
-    open: BTreeMap<WindowIndex, Counts>,
-    /// When the last append began that may still succeed.
-    appending: Option<Duration>,
+    stream_end: Offset,
+    /// The first window that is not committed, as far as it is known.
+    next_window: Option<WindowIndex>,
+    /// Committed windows that the platform may not have accepted yet.
+    unreported: BTreeMap<WindowIndex, Counts>,
+    /// When the last append was started that may still succeed.
+    append_started: Option<Duration>,
     /// The epoch of the log in which the last record was written.
-    fixed_in: Epoch,
+    committed_epoch: Epoch,
 }
 
 impl Biller {
@@ -142,160 +150,172 @@
         if self.shared.stopping().is_some() {
             return Ok(());
         }
-        self.hear();
-        self.report().await?;
-        let present = self.shared.usage.clock.now();
-        let Some(due) = self.due(present) else { return Ok(()) };
-        if !self.tenure.may_claim(&self.settings, rank, due, since_boot()) {
+        self.observe_peers();
+        self.report_committed().await?;
+        let now = self.shared.usage.clock.now();
+        let Some(overdue) = self.overdue(now) else { return Ok(()) };
+        if !self.lease.may_claim(&self.settings, rank, overdue, since_boot()) {
             return Ok(());
         }
-        if !self.tenure.is_held() || self.appending.is_some() {
-            // What was heard by datagram says nothing of what is fixed.
-            self.read().await?;
-            let due = self.due(present).unwrap_or_default();
-            if due.is_zero() || !self.tenure.may_claim(&self.settings, rank, due, since_boot()) {
+        if !self.lease.is_held() || self.append_started.is_some() {
+            // Progress received by datagram does not include the counts that were committed.
+            self.read_records().await?;
+            let overdue = self.overdue(now).unwrap_or_default();
+            if overdue.is_zero()
+                || !self.lease.may_claim(&self.settings, rank, overdue, since_boot())
+            {
                 return Ok(());
             }
         }
-        self.fix(present).await?;
-        self.report().await
+        self.commit_due(now).await?;
+        self.report_committed().await
     }
 
     /// For how long the next window has been ready to be billed; `None` if it is not.
-    fn due(&self, present: Duration) -> Option<Duration> {
+    fn overdue(&self, now: Duration) -> Option<Duration> {
         let usage = &self.shared.usage;
-        let next = self.next.or_else(|| usage.first_billable(usage.window_at(present)?))?;
-        present.checked_sub(usage.window_end(next) + SETTLED)
+        let next_window =
+            self.next_window.or_else(|| usage.first_billable(usage.window_at(now)?))?;
+        now.checked_sub(usage.window_end(next_window) + SETTLE_DELAY)
     }
 
-    /// Takes in what another entry has told of its bills.
-    fn hear(&mut self) {
-        let Some((billed, at)) = self.shared.usage.billing_progress() else { return };
-        self.next = self.next.max(Some(billed.next_window));
-        if billed.stream_end > self.end {
-            self.tenure.observe_record(billed.stream_end, at);
+    /// Observes the billing progress that another entry has published.
+    fn observe_peers(&mut self) {
+        let Some((progress, received_at)) = self.shared.usage.billing_progress() else { return };
+        self.next_window = self.next_window.max(Some(progress.next_window));
+        if progress.stream_end > self.stream_end {
+            self.lease.observe_record(progress.stream_end, received_at);
         }
     }
 
-    /// Reads what is fixed.
-    async fn read(&mut self) -> plat::Result<()> {
-        let batch = match self.log.read(STREAM, self.end, MAX_READ, Duration::ZERO).await {
-            Err(plat::Error::Gone { oldest, .. }) if epoch(oldest) > epoch(self.end) => {
+    /// Reads the bills that are committed.
+    async fn read_records(&mut self) -> plat::Result<()> {
+        let batch = match self
+            .log
+            .read(STREAM, self.stream_end, MAX_RECORDS_PER_READ, Duration::ZERO)
+            .await
+        {
+            Err(plat::Error::Gone { oldest, .. }) if epoch(oldest) > epoch(self.stream_end) => {
                 log::warn!(target: "store", stream = STREAM, epoch = epoch(oldest),
-                    read = place(self.end); "stream is read anew");
-                (self.end, self.appending) = (oldest, None);
-                self.tenure.relinquish(oldest, since_boot());
+                    read = place(self.stream_end); "stream is read anew");
+                (self.stream_end, self.append_started) = (oldest, None);
+                self.lease.relinquish(oldest, since_boot());
                 return Ok(());
             }
             Err(plat::Error::Gone { oldest, .. }) => {
                 log::warn!(target: "billing", oldest; "bills expired before they were read");
-                self.end = oldest;
+                self.stream_end = oldest;
                 return Ok(());
             }
             batch => batch?,
         };
-        self.end = self.end.max(batch.oldest);
+        self.stream_end = self.stream_end.max(batch.oldest);
         for Entry { offset, bytes } in batch.entries {
-            self.end = offset + 1;
-            match record::read(&bytes) {
-                Ok(record) => self.take(record, offset),
+            self.stream_end = offset + 1;
+            match record::decode(&bytes) {
+                Ok(record) => self.apply(record, offset),
                 Err(error) => log::warn!(target: "billing", offset, error:% = error;
                     "record not readable, left out"),
             }
         }
-        self.appending = None;
-        if self.fixed_in < epoch(self.end) {
-            self.leave_out_lost();
+        self.append_started = None;
+        if self.committed_epoch < epoch(self.stream_end) {
+            self.skip_lost_windows();
         }
         Ok(())
     }
 
-    /// Leaves out the windows that have ended, of which bills may have been lost with the log's records:
-    /// none was fixed yet since it came back older.
-    fn leave_out_lost(&mut self) {
+    /// Skips windows that have ended and whose bills may have been lost with the log's records:
+    /// none was committed yet since the log was restored from an older copy.
+    fn skip_lost_windows(&mut self) {
         let usage = &self.shared.usage;
-        let present = usage.window_at(usage.clock.now());
-        if self.next.is_some() && self.next < present {
-            log::warn!(target: "billing", next:? = self.next, after:? = present;
+        let current = usage.window_at(usage.clock.now());
+        if self.next_window.is_some() && self.next_window < current {
+            log::warn!(target: "billing", next:? = self.next_window, after:? = current;
                 "windows left out: their bills may be lost");
-            self.next = present;
+            self.next_window = current;
         }
-        self.fixed_in = epoch(self.end);
+        self.committed_epoch = epoch(self.stream_end);
     }
 
-    fn take(&mut self, record: record::Record, offset: Offset) {
-        let record::Record { life, settled, epoch, bills } = record;
-        self.fixed_in = self.fixed_in.max(epoch);
-        match self.appending.filter(|_| life == self.life) {
-            Some(began) => self.tenure.renew(&self.settings, offset, began),
-            None => self.tenure.observe_record(offset + 1, since_boot()),
+    fn apply(&mut self, record: record::Record, offset: Offset) {
+        let record::Record { incarnation, reported_before, epoch, bills } = record;
+        self.committed_epoch = self.committed_epoch.max(epoch);
+        match self.append_started.filter(|_| incarnation == self.incarnation) {
+            Some(began) => self.lease.renew(&self.settings, offset, began),
+            None => self.lease.observe_record(offset + 1, since_boot()),
         }
         for Bill { window, counts } in bills {
-            self.next = self.next.max(Some(window + 1));
-            self.open.entry(window).or_insert(counts);
+            self.next_window = self.next_window.max(Some(window + 1));
+            self.unreported.entry(window).or_insert(counts);
         }
-        self.open.retain(|window, _| *window >= settled);
+        self.unreported.retain(|window, _| *window >= reported_before);
     }
 
-    /// Fixes the windows that are due.
-    async fn fix(&mut self, present: Duration) -> plat::Result<()> {
+    /// Commits the windows that are due.
+    async fn commit_due(&mut self, now: Duration) -> plat::Result<()> {
         let usage = &self.shared.usage;
-        let first = usage.window_at(present).and_then(|present| usage.first_billable(present));
-        let Some(next) = self.next.or(first) else { return Ok(()) };
-        let is_due = |window: &WindowIndex| usage.window_end(*window) + SETTLED <= present;
-        let windows = (next..next.saturating_add(MAX_BILLS)).take_while(is_due);
+        let first = usage.window_at(now).and_then(|current| usage.first_billable(current));
+        let Some(first_due) = self.next_window.or(first) else { return Ok(()) };
+        let is_due = |window: &WindowIndex| usage.window_end(*window) + SETTLE_DELAY <= now;
+        let windows =
+            (first_due..first_due.saturating_add(MAX_BILLS_PER_RECORD)).take_while(is_due);
         let bills: Vec<_> =
             windows.map(|window| Bill { window, counts: usage.totals(window) }).collect();
-        let epoch = epoch(self.end);
-        let Some(after) = bills.last().map(|bill| bill.window + 1) else { return Ok(()) };
-        let settled = self.open.keys().next().copied().unwrap_or(next);
-        // Those that are open may have been lost with the log's records.
-        let open = self
-            .open
+        let epoch = epoch(self.stream_end);
+        let Some(following) = bills.last().map(|bill| bill.window + 1) else { return Ok(()) };
+        let reported_before = self.unreported.keys().next().copied().unwrap_or(first_due);
+        // Unreported bills may have been lost with the log's records, so they are written again.
+        let unreported = self
+            .unreported
             .iter()
             .map(|(window, counts)| Bill { window: *window, counts: counts.clone() });
-        let bills = open.chain(bills).collect();
-        let record = record::Record { life: self.life, settled, epoch, bills };
+        let bills = unreported.chain(bills).collect();
+        let record =
+            record::Record { incarnation: self.incarnation, reported_before, epoch, bills };
         let began = since_boot();
-        self.appending = Some(began);
-        let offset = match self.log.append_at(STREAM, self.end, record::write(&record)).await {
-            // Whose record stands there is read before anything else is done.
-            Err(error @ (plat::Error::Moved { .. } | plat::Error::Unsettled { .. })) => {
-                return Err(error);
-            }
-            Err(error) => {
-                self.appending = None;
-                return Err(error);
-            }
-            Ok(offset) => offset,
-        };
-        self.appending = None;
-        self.end = offset + 1;
-        self.tenure.renew(&self.settings, offset, began);
-        self.fixed_in = epoch;
+        self.append_started = Some(began);
+        let offset =
+            match self.log.append_at(STREAM, self.stream_end, record::encode(&record)).await {
+                // The record that stands there instead is read before anything else is done.
+                Err(error @ (plat::Error::Moved { .. } | plat::Error::Unsettled { .. })) => {
+                    return Err(error);
+                }
+                Err(error) => {
+                    self.append_started = None;
+                    return Err(error);
+                }
+                Ok(offset) => offset,
+            };
+        self.append_started = None;
+        self.stream_end = offset + 1;
+        self.lease.renew(&self.settings, offset, began);
+        self.committed_epoch = epoch;
         for Bill { window, counts } in record.bills {
-            self.open.entry(window).or_insert(counts);
+            self.unreported.entry(window).or_insert(counts);
         }
-        self.next = Some(after);
-        log::info!(target: "billing", offset, next = after; "bill fixed");
-        let billed = BillingProgress { stream_end: self.end, next_window: after };
-        metering::publish(&self.shared, &Payload::BillingProgress(billed));
+        self.next_window = Some(following);
+        log::info!(target: "billing", offset, next = following; "bill fixed");
+        let progress = BillingProgress { stream_end: self.stream_end, next_window: following };
+        metering::publish(&self.shared, &Payload::BillingProgress(progress));
         Ok(())
     }
 
-    /// Reports what is fixed, the oldest first, as long as this entry may.
-    async fn report(&mut self) -> plat::Result<()> {
-        while let Some(fence) = self.tenure.fencing_token(since_boot()) {
-            let Some((window, counts)) = self.open.first_key_value() else { return Ok(()) };
+    /// Reports the committed bills, the oldest first, for as long as this entry holds the lease.
+    async fn report_committed(&mut self) -> plat::Result<()> {
+        while let Some(fencing_token) = self.lease.fencing_token(since_boot()) {
+            let Some((window, counts)) = self.unreported.first_key_value() else { return Ok(()) };
             let bill = Bill { window: *window, counts: counts.clone() };
-            match self.meter.report(&self.shared.settings.name, fence, &bill).await? {
+            match self.reporter.report(&self.shared.settings.name, fencing_token, &bill).await? {
                 ReportOutcome::Accepted => {
-                    log::info!(target: "billing", window = bill.window, fence; "usage reported");
-                    self.open.remove(&bill.window);
+                    log::info!(target: "billing", window = bill.window, fence = fencing_token;
+                        "usage reported");
+                    self.unreported.remove(&bill.window);
                 }
                 ReportOutcome::Superseded => {
-                    log::warn!(target: "billing", fence; "another entry has the duty");
-                    self.tenure.relinquish(self.end, since_boot());
+                    log::warn!(target: "billing", fence = fencing_token;
+                        "another entry has the duty");
+                    self.lease.relinquish(self.stream_end, since_boot());
                 }
             }
         }
--- a/crates/direct/src/duty/billing/record.rs
+++ b/crates/direct/src/duty/billing/record.rs
@@ -1,4 +1,4 @@
-//! The records of the stream of bills.
+//! The records of the stream that holds bills.
 
 use super::Bill;
 use bytes::Bytes;
@@ -6,13 +6,13 @@
 use policy::usage::{Incarnation, WindowIndex};
 use prost::Message;
 
-/// A record: bills that are fixed with it.
+/// A record: bills that are committed by it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Record {
-    /// The life of the entry that wrote it.
-    pub(super) life: Incarnation,
-    /// All windows before this one are known to the platform.
-    pub(super) settled: WindowIndex,
+    /// The incarnation of the entry that wrote it.
+    pub(super) incarnation: Incarnation,
+    /// The platform has accepted the bills of all windows before this one.
+    pub(super) reported_before: WindowIndex,
     /// The epoch of the log in which it was written.
     pub(super) epoch: Epoch,
     /// The bills.
@@ -22,9 +22,9 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireRecord {
     #[prost(fixed64, tag = "1")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "2")]
-    settled: u64,
+    reported_before: u64,
     #[prost(message, repeated, tag = "3")]
     bills: Vec<WireBill>,
     #[prost(uint64, tag = "4")]
@@ -42,24 +42,24 @@
     counts: Vec<u64>,
 }
 
-/// Reads a record.
-pub(super) fn read(bytes: &[u8]) -> Result<Record, prost::DecodeError> {
-    let WireRecord { life, settled, bills, epoch } = WireRecord::decode(bytes)?;
+/// Decodes a record.
+pub(super) fn decode(bytes: &[u8]) -> Result<Record, prost::DecodeError> {
+    let WireRecord { incarnation, reported_before, bills, epoch } = WireRecord::decode(bytes)?;
     let bills = bills.into_iter().map(|WireBill { window, customers, counts }| {
         let customers = customers.into_iter().map(Into::into);
         Bill { window, counts: customers.zip(counts).collect() }
     });
-    Ok(Record { life, settled, epoch, bills: bills.collect() })
+    Ok(Record { incarnation, reported_before, epoch, bills: bills.collect() })
 }
 
-/// Writes a record.
-pub(super) fn write(record: &Record) -> Bytes {
+/// Encodes a record.
+pub(super) fn encode(record: &Record) -> Bytes {
     let bills = record.bills.iter().map(|bill| WireBill {
         window: bill.window,
         customers: bill.counts.keys().map(ToString::to_string).collect(),
         counts: bill.counts.values().copied().collect(),
     });
-    let Record { life, settled, epoch, .. } = *record;
-    let wire = WireRecord { life, settled, bills: bills.collect(), epoch };
+    let Record { incarnation, reported_before, epoch, .. } = *record;
+    let wire = WireRecord { incarnation, reported_before, bills: bills.collect(), epoch };
     wire.encode_to_vec().into()
 }
--- a/crates/direct/src/duty/metering.rs
+++ b/crates/direct/src/duty/metering.rs
@@ -1,4 +1,4 @@
-//! Tells the entries that may bill what customers have used, see [`crate::cluster::usage`].
+//! Sends usage counts to the entries that may bill them, see [`crate::cluster::usage`].
 
 use crate::cluster::messages::Payload;
 use crate::cluster::usage::billers;
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Sends a word to all others that may bill.
-pub fn publish(shared: &Shared, word: &Payload) {
+/// Sends a message to all other entries that may bill.
+pub fn publish(shared: &Shared, payload: &Payload) {
     for address in addresses(shared) {
-        shared.post.send(word.clone(), address);
+        shared.post.send(payload.clone(), address);
     }
 }
 
@@ -18,20 +18,20 @@
     billers.into_iter().filter_map(|member| member.address).collect()
 }
 
-/// Tells the billers what this entry has counted, for as long as the process lives.
+/// Sends the counts of this entry to the billers for as long as the process lives.
 pub async fn run(shared: Arc<Shared>) {
-    let mut told = Vec::new();
+    let mut previous = Vec::new();
     loop {
         tokio::time::sleep(shared.usage.report_interval(shared.entries())).await;
-        if let Some(present) = shared.usage.window_at(shared.usage.clock.now()) {
-            shared.usage.prune(present);
+        if let Some(current) = shared.usage.window_at(shared.usage.clock.now()) {
+            shared.usage.prune(current);
         }
         let billers = addresses(&shared);
-        // One that has just become a biller has heard of nothing.
-        let new = billers.iter().any(|address| !told.contains(address));
-        for word in shared.usage.pending_updates(new) {
-            publish(&shared, &word);
+        // An entry that has just become a biller has received no counts yet.
+        let any_new = billers.iter().any(|address| !previous.contains(address));
+        for payload in shared.usage.pending_updates(any_new) {
+            publish(&shared, &payload);
         }
-        told = billers;
+        previous = billers;
     }
 }
