--- a/crates/direct/src/duty/stage_planner/orders.rs
+++ b/crates/direct/src/duty/stage_planner/orders.rs
@@ -1,7 +1,7 @@
-//! Carries a plan out: announces it, and orders the engines that it names.
+//! Executes a plan: announces it, and sends orders to the engines that it names.
 //!
-//! An entry that was frozen, or whose append was answered late, gives no orders: [`ORDERS_END`]
-//! is measured on a clock that also counts suspended time, from before the append.
+//! An entry that was frozen, or whose append was answered late, sends no orders: [`MAX_PLAN_AGE`]
+//! is measured from before the append, by a clock that also counts suspended time.
 
 use super::Planner;
 use crate::cluster::clock::since_boot;
@@ -20,84 +20,89 @@
 use std::time::Duration;
 
 /// Engines, each with the stage that it is to have.
-pub(super) type Changes = Vec<(Arc<Target>, Stage)>;
+pub(super) type StageChanges = Vec<(Arc<Target>, Stage)>;
 
-/// Between the announcement and the orders: two reads of the entries' stream.
-pub(super) const ANNOUNCED: Duration = Duration::from_millis(2_200);
+/// The time between the announcement and the orders: two reads of the entries' stream.
+pub(super) const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(2_200);
 
-/// The same where the load can't wait: entries are told of the plan by datagram. One that misses it still
-/// sends work to engines that change, which they refuse; it is sent elsewhere then.
-pub(super) const TOLD: Duration = Duration::from_millis(400);
+/// The same where the load can't wait: entries receive the plan by datagram. An entry that misses
+/// it still sends work to engines that change; they refuse it, and it is sent elsewhere.
+pub(super) const DATAGRAM_ANNOUNCEMENT_TIME: Duration = Duration::from_millis(400);
 
-/// No orders are given later than this after the append began.
-const ORDERS_END: Duration = Duration::from_millis(5_000);
+/// No orders are sent later than this after the append began.
+const MAX_PLAN_AGE: Duration = Duration::from_millis(5_000);
 
 /// How long an engine may take for a report or an order.
-const PATIENCE: Duration = Duration::from_millis(600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 impl Planner {
-    /// Appends the plan, and gives its orders after `announced`, when the other entries have read it.
-    pub(super) async fn carry_out(&self, changes: Changes, announced: Duration) {
-        let Some(end) = self.bulletin.borrow().end else { return };
-        let of = |wanted: Stage| {
-            let ids = changes.iter().filter(|(_, stage)| *stage == wanted);
+    /// Appends the plan, and sends its orders after `announcement_time`, when the other entries
+    /// have read it.
+    pub(super) async fn execute(&self, changes: StageChanges, announcement_time: Duration) {
+        let Some(end) = self.stream_view.borrow().end else { return };
+        let engines_for = |planned: Stage| {
+            let ids = changes.iter().filter(|(_, stage)| *stage == planned);
             ids.map(|(target, _)| target.id.to_string()).collect()
         };
         let plan = Plan {
             planner: self.shared.settings.name.to_string(),
-            to_prefill: of(Stage::Prefill),
-            to_decode: of(Stage::Decode),
+            to_prefill: engines_for(Stage::Prefill),
+            to_decode: engines_for(Stage::Decode),
             created_us: u64::try_from(self.shared.usage.clock.now().as_micros())
                 .unwrap_or_default(),
         };
         let began = since_boot();
         let record = notice::encode(Kind::Plan(plan.clone()));
-        let fence = match self.log.append_at(entry_stream::STREAM, end, record.clone()).await {
+        let plan_offset = match self.log.append_at(entry_stream::STREAM, end, record.clone()).await
+        {
             Ok(offset) => offset,
             Err(error) => {
-                // Moved: somebody wrote meanwhile, perhaps only that it lives. What it wrote is read
-                // at once, and if no plan is among it the next look finds the same to be done.
-                // Otherwise the plan may stand in the stream or not; either way no order is given
-                // under it.
+                // If the stream has moved, another entry has appended, perhaps only a heartbeat.
+                // Its record is read at once; if it is not a plan, the next check finds the same
+                // imbalance. After any other error the plan may or may not be in the stream; either
+                // way no orders are sent for it.
                 self.shared.notices.notify_one();
                 log::info!(target: "stages", error:% = error; "plan not made");
                 return;
             }
         };
         entry_stream::expect_changes(&self.shared, &plan, STAGE_CHANGE_TIMEOUT);
-        let (topic, before) = (Topic::Notices, self.shared.tail.change_end(Topic::Notices));
-        let record = Record { offset: fence, key: CompactString::default(), value: Some(record) };
+        let (topic, change_end) = (Topic::Notices, self.shared.tail.change_end(Topic::Notices));
+        let record =
+            Record { offset: plan_offset, key: CompactString::default(), value: Some(record) };
         broadcast::send(
             &self.shared,
-            &RecordSpan { topic, start: before, log_degraded: false, records: vec![record] },
+            &RecordSpan { topic, start: change_end, log_degraded: false, records: vec![record] },
         );
-        tokio::time::sleep(announced).await;
+        tokio::time::sleep(announcement_time).await;
         let orders = changes.into_iter().map(|(target, stage)| async move {
-            if since_boot().saturating_sub(began) > ORDERS_END {
-                log::warn!(target: "stages", target_id = target.id.as_str(), fence;
+            if since_boot().saturating_sub(began) > MAX_PLAN_AGE {
+                log::warn!(target: "stages", target_id = target.id.as_str(), fence = plan_offset;
                     "order not given: the plan is too old");
                 return;
             }
-            self.order(&target, stage, fence).await;
+            self.order(&target, stage, plan_offset).await;
         });
         futures_util::future::join_all(orders).await;
     }
 
-    /// Orders one engine to change, if it still has to.
-    async fn order(&self, engine: &Arc<Target>, stage: Stage, fence: Offset) {
+    /// Orders one engine to change its stage, if it still has to.
+    async fn order(&self, engine: &Arc<Target>, stage: Stage, plan_offset: Offset) {
         let codec = &*self.shared.codec;
         let report = match self.report(engine).await {
             Ok(report)
                 if report.incarnation.is_some() && report.incarnation != engine.incarnation =>
             {
-                // It started again: what the plan knew of it is gone.
-                log::info!(target: "stages", target_id = engine.id.as_str(), born:? = report.incarnation;
+                // It has restarted: what the plan assumed of it no longer holds.
+                log::info!(target: "stages", target_id = engine.id.as_str(),
+                    born:? = report.incarnation;
                     "order not given: the engine started again");
                 return;
             }
             Ok(report) if report.stage != Some(stage) && !report.order_in_progress => report,
             Ok(report) => {
-                log::info!(target: "stages", target_id = engine.id.as_str(), busy = report.order_in_progress;
+                log::info!(target: "stages", target_id = engine.id.as_str(),
+                    busy = report.order_in_progress;
                     "order not needed");
                 return;
             }
@@ -108,27 +113,28 @@
             }
         };
         let holder = self.shared.settings.name.clone();
-        // Offsets count from 0, and a fence of 0 could mean none.
+        // Offsets count from 0, and a fencing token of 0 could mean none.
         let order = StageOrder {
             stage,
             holder,
-            fencing_token: fence + 1,
+            fencing_token: plan_offset + 1,
             expected: report.accepted_orders,
         };
         let (path, body) = codec.encode_order(&order);
-        let answer = attempt::order(codec, engine, path, body, PATIENCE).await;
-        let went = match &answer {
+        let response = attempt::order(codec, engine, path, body, CALL_TIMEOUT).await;
+        let result = match &response {
             Ok(StatusCode::ACCEPTED) => "accepted",
             Ok(StatusCode::OK) => "holds already",
             Ok(StatusCode::CONFLICT) => "another is under way",
             Ok(StatusCode::PRECONDITION_FAILED) => "superseded",
             Ok(_) => "refused",
-            // It may be carried out, now or later; `expected` guards against it coming late.
+            // It may be carried out now or later; `expected` guards against a late arrival.
             Err(_) => "unknown",
         };
-        self.shared.metrics.order(went);
+        self.shared.metrics.order(result);
         log::info!(target: "stages", target_id = engine.id.as_str(), stage:? = stage,
-            fence = order.fencing_token, expected = order.expected, went, answer:? = answer;
+            fence = order.fencing_token, expected = order.expected, went = result,
+            answer:? = response;
             "order given");
     }
 
@@ -136,7 +142,7 @@
         let codec = &*self.shared.codec;
         let path = codec.report_path();
         let (_, _, body) =
-            attempt::call(codec, engine, Method::GET, path, Vec::new(), PATIENCE).await?;
+            attempt::call(codec, engine, Method::GET, path, Vec::new(), CALL_TIMEOUT).await?;
         codec.decode_report(&body).map_err(|error| compact_str::format_compact!("{error}"))
     }
 }
