--- a/crates/direct/tests/events.rs
+++ b/crates/direct/tests/events.rs
@@ -1,4 +1,4 @@
-//! Only whole events are passed on.
+//! Only complete events are forwarded.
 
 use bytes::Bytes;
 use direct::request::events::EventBuffer;
@@ -6,7 +6,7 @@
 const STREAM: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda";
 
 #[test]
-fn half_an_event_is_held_back_and_the_last_whole_one_is_known() {
+fn a_partial_event_is_held_back_and_the_last_complete_id_is_known() {
     let mut events = EventBuffer::default();
     assert_eq!(events.push(&Bytes::from_static(b"id: 1\nda")), "");
     assert_eq!(events.last_id(), None);
@@ -15,23 +15,23 @@
     assert_eq!(events.take_partial(), "id: 2");
 }
 
-/// However the stream is cut into pieces, what is passed on is the same, and ends with an event.
+/// However the stream is cut into pieces, the forwarded bytes are the same, and end with an event.
 #[test]
-fn any_cutting_passes_on_the_same() {
+fn the_output_is_the_same_however_the_stream_is_cut() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|cuts| {
         let mut events = EventBuffer::default();
-        let mut passed = String::new();
+        let mut forwarded = String::new();
         let mut rest = STREAM;
         for cut in cuts {
             let (piece, after) = rest.split_at((usize::from(*cut) % 7).min(rest.len()));
             rest = after;
-            let whole = events.push(&Bytes::copy_from_slice(piece.as_bytes()));
-            passed.push_str(std::str::from_utf8(&whole).unwrap());
-            assert!(passed.is_empty() || passed.ends_with("\n\n"));
+            let complete = events.push(&Bytes::copy_from_slice(piece.as_bytes()));
+            forwarded.push_str(std::str::from_utf8(&complete).unwrap());
+            assert!(forwarded.is_empty() || forwarded.ends_with("\n\n"));
         }
-        let whole = events.push(&Bytes::copy_from_slice(rest.as_bytes()));
-        passed.push_str(std::str::from_utf8(&whole).unwrap());
-        assert_eq!(passed, &STREAM[..30]);
+        let complete = events.push(&Bytes::copy_from_slice(rest.as_bytes()));
+        forwarded.push_str(std::str::from_utf8(&complete).unwrap());
+        assert_eq!(forwarded, &STREAM[..30]);
         assert_eq!(events.last_id(), Some(2));
     });
 }
--- a/crates/direct/tests/layers.rs
+++ b/crates/direct/tests/layers.rs
@@ -1,9 +1,9 @@
-//! The crate's layers, by its own `use` lines.
+//! The layers of the crate, as its own `use` lines show them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Layers from the bottom up; a module of the crate's root is a layer of its own.
+/// Layers from the bottom up; each module at the root of the crate is a layer.
 const LAYERS: [&str; 17] = [
     "unknown_names",
     "logging",
@@ -24,11 +24,11 @@
     "daemon",
 ];
 
-/// The modules that a text names by `crate::`.
+/// The modules that a source text refers to by `crate::`.
 fn imports(text: &str) -> BTreeSet<String> {
     let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
     let code: String = code.collect::<Vec<_>>().join(" ");
-    let mut found = BTreeSet::new();
+    let mut imported = BTreeSet::new();
     for path in code.split("crate::").skip(1) {
         let rest = path.split([';', '(', ')', '<', '>', ',', ' ']).next().unwrap_or_default();
         let end = path.find(';').unwrap_or(path.len());
@@ -36,17 +36,17 @@
             Some(_) => {
                 let (folder, names) = path[..end].split_once('{').unwrap_or_default();
                 let names = names.trim_end_matches(['}', ' ']).split(',');
-                found.extend(names.map(|name| {
+                imported.extend(names.map(|name| {
                     let name = name.trim().split("::").next().unwrap_or_default();
                     format!("{folder}{name}")
                 }));
             }
             None => {
-                found.insert(rest.to_owned());
+                imported.insert(rest.to_owned());
             }
         }
     }
-    found
+    imported
 }
 
 fn read(folder: &Path, prefix: &str, modules: &mut BTreeMap<String, String>) {
@@ -69,27 +69,28 @@
     modules
 }
 
-/// An import that runs back up makes a step know what is built on it, and soon the two are one.
+/// A module that imports from a layer above depends on what is built on it, and soon neither can be
+/// understood without the other.
 #[test]
 fn no_layer_imports_one_above_it() {
-    let floor = |module: &str| {
+    let layer_of = |module: &str| {
         let layer = module.split("::").next().unwrap_or_default();
         LAYERS.iter().position(|name| *name == layer)
     };
     let modules = modules();
     assert!(modules.len() > 50, "{} modules", modules.len());
     for (module, text) in &modules {
-        let own = floor(module).unwrap_or_else(|| panic!("{module} is in no layer"));
+        let own = layer_of(module).unwrap_or_else(|| panic!("{module} is in no layer"));
         for import in imports(text) {
-            let Some(other) = floor(&import) else { continue };
+            let Some(other) = layer_of(&import) else { continue };
             assert!(other <= own, "{module} imports {import}, which lies above it");
         }
     }
 }
 
-/// Modules that import each other in a ring can only be read all at once.
+/// Modules that import each other in a cycle can only be understood all at once.
 #[test]
-fn no_ring_has_more_than_three_modules() {
+fn no_cycle_has_more_than_three_modules() {
     let modules = modules();
     let resolve = |import: &str| {
         let parts: Vec<&str> = import.split("::").collect();
@@ -99,7 +100,7 @@
         .iter()
         .map(|(module, text)| (module, imports(text).iter().filter_map(|i| resolve(i)).collect()))
         .collect();
-    let reached = |from: &String| {
+    let reachable_from = |from: &String| {
         let (mut seen, mut next) = (BTreeSet::new(), vec![from.clone()]);
         while let Some(module) = next.pop() {
             for import in &graph[&module] {
@@ -110,12 +111,12 @@
         }
         seen
     };
-    let reach: BTreeMap<&String, BTreeSet<String>> =
-        graph.keys().map(|module| (*module, reached(module))).collect();
-    for (module, reached) in &reach {
-        let ring =
-            reached.iter().filter(|other| *other != *module && reach[other].contains(*module));
-        let ring: Vec<_> = ring.collect();
-        assert!(ring.len() < 3, "{module} is in a ring with {ring:?}");
+    let reachable: BTreeMap<&String, BTreeSet<String>> =
+        graph.keys().map(|module| (*module, reachable_from(module))).collect();
+    for (module, reached) in &reachable {
+        let cycle =
+            reached.iter().filter(|other| *other != *module && reachable[other].contains(*module));
+        let cycle: Vec<_> = cycle.collect();
+        assert!(cycle.len() < 3, "{module} is in an import cycle with {cycle:?}");
     }
 }
--- a/crates/direct/tests/story.rs
+++ b/crates/direct/tests/log_search.rs
@@ -1,4 +1,4 @@
-//! Searches in log files, and the page that lists what can be found there.
+//! Searches in log files, and the page that lists the events that can be found there.
 
 use direct::log_search::{Source, request, state_changes};
 use insta::assert_snapshot;
@@ -24,23 +24,23 @@
 }
 
 #[test]
-fn one_request_over_all_processes_with_what_they_believed() {
+fn one_request_over_all_processes_with_their_state() {
     assert_snapshot!(request("r7", &sources()).join("\n"));
 }
 
 #[test]
-fn what_was_believed_in_a_span_of_time() {
+fn state_changes_in_a_span_of_time() {
     let found = state_changes("2026-06-01T15:00:01.15Z", "2026-06-01T15:00:03.06Z", &sources());
     assert_snapshot!(found.join("\n"));
 }
 
 #[test]
-fn an_unknown_request_has_no_story() {
+fn an_unknown_request_is_not_found() {
     assert!(request("r8", &sources()).is_empty());
 }
 
-/// The page of events is what on-call engineers search by. An event that is renamed in the code
-/// and not on the page is searched for in vain.
+/// On-call engineers look events up on this page. An event that is renamed in the code but not on
+/// the page is not found.
 #[test]
 fn the_page_lists_every_event_of_the_code() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
--- a/crates/direct/tests/journal.rs
+++ b/crates/direct/tests/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines never delay the work.
+//! Writing log lines never delays the work.
 
 use direct::logging::QueuedAppender;
 use logforth::Append;
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 /// A pipe whose reader has stopped reading: writes block until it is dropped.
-struct Stuck(Receiver<()>);
+struct BlockedPipe(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedPipe {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -21,16 +21,16 @@
     }
 }
 
-/// Whoever collects the log stops reading, the pipe fills, and a process that writes its lines
-/// itself stands still with all its callers.
+/// A log collector stops reading and the pipe fills: a process that wrote its log lines itself
+/// would block, with all its callers.
 #[test]
-fn a_reader_that_stops_reading_delays_nothing() {
-    let (_reader, stuck) = channel();
-    let journal = QueuedAppender::new(Stuck(stuck));
+fn a_blocked_log_reader_delays_nothing() {
+    let (_reader, pipe) = channel();
+    let appender = QueuedAppender::new(BlockedPipe(pipe));
     let began = Instant::now();
     for _ in 0..100_000 {
         let record = Record::builder().payload(format_args!("request ended")).build();
-        journal.append(&record, &[]).unwrap();
+        appender.append(&record, &[]).unwrap();
     }
     assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
     assert!(direct::logging::dropped() > 90_000);
--- a/crates/direct/tests/route.rs
+++ b/crates/direct/tests/route.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
-    let portions = [("x", 90.0), ("y", 10.0)];
+    let services = [("x", 90.0), ("y", 10.0)];
     Route {
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        services: portions
+        services: services
             .map(|(service, weight)| WeightedService { service: service.into(), weight })
             .into(),
         retry_policy: RetryPolicy::Once,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn requests_are_dealt_by_weight() {
+fn requests_are_split_by_weight() {
     let route = route("r", "h", "/");
     let to_y = (0..1_000).filter(|n| route.pick_service(f64::from(*n) / 1_000.0) == "y").count();
     assert_eq!(to_y, 100);
--- a/crates/direct/tests/target.rs
+++ b/crates/direct/tests/target.rs
@@ -1,4 +1,4 @@
-//! One target as an entry knows it.
+//! The signals of one target, as an entry observes them.
 
 use direct::targets::target::{Identity, Target};
 use policy::signals::{Signal, Signals};
@@ -11,35 +11,35 @@
     Target::new(identity, "s".into(), address, "a".into(), 4, Arc::default())
 }
 
-/// Whether something changed.
-fn hear(target: &Target, limit: Signal<f64>, now: Instant) -> bool {
+/// Observes a limit; returns whether something changed.
+fn observe_limit(target: &Target, limit: Signal<f64>, now: Instant) -> bool {
     let signals = Signals { limit, ..Signals::default() };
     !target.observe_signals(&signals, now, now).is_empty()
 }
 
-/// A target names a limit that nobody can read, in each of its answers. A line for each would fill the log, and
-/// taken for none it would get all there is.
+/// A target names an unreadable limit in each of its responses. A log line for each would fill the
+/// log, and if it counted as no limit, the target would get unlimited requests.
 #[tokio::test]
-async fn a_limit_that_cannot_be_read_is_told_once_and_changes_nothing() {
+async fn an_unreadable_limit_is_reported_once_and_changes_nothing() {
     let (target, now) = (target(), Instant::now());
-    assert!(hear(&target, Signal::Value(5.0), now));
-    assert!(hear(&target, Signal::Unreadable, now));
-    assert!(!hear(&target, Signal::Unreadable, now));
+    assert!(observe_limit(&target, Signal::Value(5.0), now));
+    assert!(observe_limit(&target, Signal::Unreadable, now));
+    assert!(!observe_limit(&target, Signal::Unreadable, now));
     assert_eq!(target.limit(), Some(5.0));
-    assert!(!hear(&target, Signal::Value(5.0), now));
-    assert!(hear(&target, Signal::Unreadable, now));
+    assert!(!observe_limit(&target, Signal::Value(5.0), now));
+    assert!(observe_limit(&target, Signal::Unreadable, now));
 }
 
-/// Nothing is known of a target that names no limit, and there is nothing to tell its coordinators.
+/// A target that names no limit has nothing to report to its coordinators.
 #[tokio::test]
-async fn a_target_without_a_limit_has_nothing_to_tell() {
+async fn a_target_without_a_limit_reports_nothing() {
     let (target, now) = (target(), Instant::now());
-    assert!(!hear(&target, Signal::Absent, now));
+    assert!(!observe_limit(&target, Signal::Absent, now));
     assert!(!target.begin_limit_report(false, now));
-    hear(&target, Signal::Value(5.0), now);
+    observe_limit(&target, Signal::Value(5.0), now);
     assert!(target.begin_limit_report(false, now));
     assert!(!target.begin_limit_report(false, now));
-    // Its end is told at once, though it was told of just now.
-    hear(&target, Signal::Absent, now);
+    // The end of a limit is reported at once, though a report was sent just before.
+    observe_limit(&target, Signal::Absent, now);
     assert!(target.begin_limit_report(false, now));
 }
