--- /dev/null
+++ b/crates/direct/src/request/generate/prefill_step.rs
@@ -0,0 +1,385 @@
+//! The first half of a generation: an engine prefills the prompt, unless the engine that decodes
+//! will do so.
+
+use super::cache::HeldCache;
+use super::{prefix_hash, record_cached};
+use crate::codec::{AttemptHead, KvHandle, Prompt, Step};
+use crate::config::route::Stage;
+use crate::request::context::{RequestContext, TARGET_RETRY_AFTER};
+use crate::request::dispatch;
+use crate::request::permits::Permit;
+use crate::request::prefill_placement;
+use crate::request::reservation::Reservation;
+use crate::request::response::Refusal;
+use crate::request::trace::Trace;
+use crate::targets::attempt::{self, Outcome};
+use crate::targets::target::{Target, TransferDirection};
+use compact_str::CompactString;
+use http_body_util::BodyExt;
+use policy::prefill::{self, PrefillCandidate};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Prefill attempts for one request. A prefill does not count as running the request, so the bound
+/// only protects the budget of extra attempts.
+const MAX_PREFILL_ATTEMPTS: u32 = 2;
+
+/// Prompts of up to this many tokens are prefilled by the decode engine if no other has room: it
+/// takes a few milliseconds there.
+const SHORT_PROMPT_TOKENS: u32 = 1_024;
+
+/// The result of the first half.
+pub(super) enum PrefillResult {
+    /// The prompt can be decoded.
+    Ready(PromptState),
+    /// The prompt was not prefilled, so the request has not run; with the time after which to
+    /// retry.
+    Refused(Refusal, Duration),
+}
+
+/// How the decode engine gets the prompt's KV cache.
+pub(super) enum PromptState {
+    /// It has been prefilled and is held under a handle.
+    Cached(HeldCache),
+    /// This engine both prefills and decodes.
+    Engine(PrefillPlacement),
+    /// The engine that decodes, whichever it is, also prefills it.
+    AnyEngine,
+}
+
+impl PromptState {
+    /// The failure domain in which the decode engine should be.
+    pub(super) fn preferred_domain<'a>(&'a self, request: &'a RequestContext) -> &'a str {
+        match self {
+            Self::Cached(cache) => &cache.holder().domain,
+            Self::Engine(_) | Self::AnyEngine => &request.shared.settings.domain,
+        }
+    }
+}
+
+/// An engine chosen to prefill a prompt.
+pub(super) struct PrefillPlacement {
+    /// The engine.
+    pub(super) engine: Arc<Target>,
+    /// The engine from which it first copies the cached prefix.
+    pub(super) fetch_from: Option<Arc<Target>>,
+    /// Tokens left to prefill.
+    pub(super) tokens: u64,
+    /// Tokens queued there before it.
+    queued_tokens: u64,
+    /// Whether the request may be sent there.
+    pub(super) permit: Permit,
+    /// Its reservation, unless this entry decided by itself.
+    pub(super) reservation: Option<Reservation>,
+}
+
+/// Prefills the prompt, or finds out which engine can.
+pub(super) async fn run(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    trace: &mut Trace,
+) -> PrefillResult {
+    let began = Instant::now();
+    // The body is sent to the prefill engine and to the decode engine.
+    let body_bytes = u64::try_from(request.buffered.body.len()).unwrap_or(u64::MAX);
+    match request.shared.reserve_link(body_bytes * 2, request.route.objective) {
+        Ok(delay) if delay.is_zero() => {}
+        Ok(delay) => tokio::time::sleep(delay).await,
+        // The link of another entry is probably free.
+        Err(retry_after) => {
+            return PrefillResult::Refused(Refusal::LinkFull, retry_after.min(TARGET_RETRY_AFTER));
+        }
+    }
+    let result = place_and_prefill(request, prompt, trace, began).await;
+    match &result {
+        PrefillResult::Refused(..) => request.shared.release_link(body_bytes * 2),
+        PrefillResult::Ready(PromptState::Engine(_) | PromptState::AnyEngine) => {
+            request.shared.release_link(body_bytes)
+        }
+        PrefillResult::Ready(PromptState::Cached(_)) => {}
+    }
+    result
+}
+
+/// Prefills the prompt or finds out which engine can, once the link is reserved.
+async fn place_and_prefill(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    trace: &mut Trace,
+    began: Instant,
+) -> PrefillResult {
+    let requirements = requirements(request, prompt, began.elapsed());
+    let mut counted = requirements.late;
+    let mut tried: Vec<Arc<Target>> = Vec::new();
+    while trace.attempts < MAX_PREFILL_ATTEMPTS {
+        let choice = find(request, prompt, &requirements, &tried).await;
+        if !std::mem::replace(&mut counted, true) {
+            request
+                .shared
+                .loads
+                .record_request(&request.service.name, choice.uncached_tokens(prompt));
+        }
+        let placement = match choice {
+            Choice::Full { .. } if prompt.input_tokens <= SHORT_PROMPT_TOKENS => {
+                return PrefillResult::Ready(PromptState::AnyEngine);
+            }
+            Choice::Full { retry_after: earliest, .. } => {
+                let settings = request.shared.prompts(&request.service.name);
+                let random = request.shared.random();
+                let retry_after =
+                    prefill::retry_after(&settings, earliest, request.time_left(), random);
+                return PrefillResult::Refused(Refusal::PrefillFull, retry_after);
+            }
+            Choice::Engine(placement) => placement,
+        };
+        if placement.engine.stage() != Some(Stage::Prefill) {
+            return PrefillResult::Ready(PromptState::Engine(placement));
+        }
+        tried.push(placement.engine.clone());
+        if placement.engine.check_open(Instant::now()).is_err() {
+            continue;
+        }
+        if trace.attempts > 0 && !request.shared.try_book_extra(&request.service.name) {
+            return PrefillResult::Refused(Refusal::TargetRefused, TARGET_RETRY_AFTER);
+        }
+        if let Some(cache) = attempt_prefill(request, prompt, placement, trace).await {
+            return PrefillResult::Ready(PromptState::Cached(cache));
+        }
+        if Instant::now() >= request.deadline {
+            break;
+        }
+    }
+    PrefillResult::Refused(Refusal::TargetRefused, TARGET_RETRY_AFTER)
+}
+
+/// Where a prompt can be prefilled.
+enum Choice {
+    Engine(PrefillPlacement),
+    Full { retry_after: Duration, cached_tokens: u64 },
+}
+
+impl Choice {
+    /// Tokens of the prompt that no engine has cached.
+    fn uncached_tokens(&self, prompt: &Prompt) -> u64 {
+        match self {
+            Self::Engine(placement) => placement.tokens,
+            Self::Full { cached_tokens, .. } => {
+                u64::from(prompt.input_tokens).saturating_sub(*cached_tokens)
+            }
+        }
+    }
+}
+
+/// Chooses an engine, by asking the coordinators or, where none answers, by what this entry knows.
+async fn find(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    requirements: &prefill::Prompt,
+    tried: &[Arc<Target>],
+) -> Choice {
+    match prefill_placement::find(request, prompt, requirements, tried).await {
+        prefill_placement::SearchResult::Reserved(reserved) => {
+            let prefill_placement::ReservedEngine {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation,
+            } = reserved;
+            let reservation = Some(reservation);
+            Choice::Engine(PrefillPlacement {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation,
+            })
+        }
+        prefill_placement::SearchResult::Full { retry_after, cached_tokens } => {
+            Choice::Full { retry_after, cached_tokens }
+        }
+        prefill_placement::SearchResult::Unanswered(engines) => {
+            choose_locally(request, prompt, requirements, &engines, tried)
+        }
+    }
+}
+
+/// Chooses an engine by what this entry knows, including the load reported by the others.
+fn choose_locally(
+    request: &RequestContext,
+    prompt: &Prompt,
+    requirements: &prefill::Prompt,
+    engines: &[Arc<Target>],
+    tried: &[Arc<Target>],
+) -> Choice {
+    let engines = candidates(request, engines, tried);
+    let candidates: Vec<PrefillCandidate> =
+        engines.iter().map(|engine| candidate(request, engine, prompt)).collect();
+    let settings = request.shared.prompts(&request.service.name);
+    match prefill::place(&settings, requirements, &candidates, request.shared.load_scale()) {
+        prefill::Placement::Full(retry_after) => {
+            let cached_tokens = candidates
+                .iter()
+                .map(|candidate| candidate.cached_tokens)
+                .max()
+                .unwrap_or_default();
+            Choice::Full { retry_after, cached_tokens }
+        }
+        prefill::Placement::Prefill { at, copy_from, tokens } => {
+            let (engine, queued_tokens) = (engines[at].clone(), candidates[at].queued_tokens);
+            let fetch_from = copy_from.map(|at| engines[at].clone());
+            let permit = Permit::Required;
+            Choice::Engine(PrefillPlacement {
+                engine,
+                fetch_from,
+                tokens,
+                queued_tokens,
+                permit,
+                reservation: None,
+            })
+        }
+    }
+}
+
+/// Engines that may prefill: all that are available and were not tried.
+fn candidates(
+    request: &RequestContext,
+    engines: &[Arc<Target>],
+    tried: &[Arc<Target>],
+) -> Vec<Arc<Target>> {
+    let now = Instant::now();
+    let untried = |engine: &&Arc<Target>| tried.iter().all(|other| other.id != engine.id);
+    let eligible =
+        |engine: &&Arc<Target>| !engine.is_changing_stage(now) && engine.closed_for(now).is_none();
+    let eligible: Vec<_> = engines.iter().filter(untried).filter(eligible).cloned().collect();
+    let available =
+        |engine: &&Arc<Target>| !engine.is_unavailable(request.unresponsive_after(), now);
+    let available: Vec<_> = eligible.iter().filter(available).cloned().collect();
+    // All engines look unavailable to a process that was frozen itself and has not yet read their
+    // responses.
+    if available.is_empty() { eligible } else { available }
+}
+
+fn candidate(request: &RequestContext, engine: &Arc<Target>, prompt: &Prompt) -> PrefillCandidate {
+    let others = request.shared.peers.load_at(engine.key);
+    let streams = engine.engine.streams() + others.streams;
+    PrefillCandidate {
+        key: engine.key,
+        decodes: engine.stage() != Some(Stage::Prefill),
+        queued_tokens: engine.engine.prefill_tokens() + others.prefill_tokens,
+        cached_tokens: engine.engine.cached_tokens(&prompt.parts),
+        slot_usage: f64::from(streams) / f64::from(engine.slots.max(1)),
+        transfer_excess: engine.transfer_excess(TransferDirection::Out, Instant::now()),
+        domain: engine.domain_key,
+    }
+}
+
+/// What a prompt that has `waited` here requires of an engine.
+fn requirements(request: &RequestContext, prompt: &Prompt, waited: Duration) -> prefill::Prompt {
+    let late = request.shared.is_retry(&request.route, request.head.deadline);
+    let (tokens, objective) =
+        (u64::from(prompt.input_tokens), request.route.objective.saturating_sub(waited));
+    prefill::Prompt { prefix_hash: prefix_hash(prompt), tokens, objective, late }
+}
+
+/// Sends the prompt to an engine for prefill; `None` if it was not prefilled.
+async fn attempt_prefill(
+    request: &Arc<RequestContext>,
+    prompt: &Prompt,
+    placement: PrefillPlacement,
+    trace: &mut Trace,
+) -> Option<HeldCache> {
+    let PrefillPlacement { engine, fetch_from, tokens, queued_tokens, permit, reservation } =
+        placement;
+    let engine = &engine;
+    let _in_flight = engine.begin_request();
+    let _prefill = engine.engine.begin_prefill(tokens);
+    let fetch_address = fetch_from.map(|engine| engine.address);
+    let settings = &request.shared.settings.prompts;
+    let prefill_priority = Some(prefill::priority(settings, tokens, request.priority()));
+    let cached_tokens = u64::from(prompt.input_tokens).saturating_sub(tokens);
+    request.shared.metrics.prompt_tokens(tokens, cached_tokens);
+    let head = AttemptHead {
+        step: Step::Prefill,
+        fetch_from: fetch_address,
+        priority: prefill_priority,
+        ..request.attempt_head(engine)
+    };
+    let began = Instant::now();
+    let outcome = dispatch::send(request, engine, &head, permit).await;
+    let name = outcome.name();
+    let duration = began.elapsed();
+    trace.record_attempt("read", &engine.id, name, duration);
+    trace.attempts += u32::from(!matches!(outcome, Outcome::NotSent(_) | Outcome::Closed(_)));
+    match outcome {
+        Outcome::Answered(answered) => {
+            let success = answered.response.status().is_success();
+            let id = read_handle(request, *answered).await.filter(|_| success)?;
+            request.shared.record_prefill_time(
+                &request.service.name,
+                queued_tokens + tokens,
+                duration,
+            );
+            record_prefill(request, prompt, engine, reservation);
+            let handle = KvHandle { holder: engine.address, id };
+            return Some(HeldCache::new(request, engine, handle));
+        }
+        Outcome::NotRun(_) => request.shared.book_extra(&request.service.name),
+        Outcome::TimedOut | Outcome::Closed(_) => {}
+        Outcome::NotSent(_) => fail_reservation(reservation),
+        Outcome::Unknown(_) => {
+            request.suspect_if_crashed(engine);
+            fail_reservation(reservation);
+        }
+    }
+    None
+}
+
+/// Records which parts the engine has cached, and completes the reservation.
+pub(super) fn record_prefill(
+    request: &RequestContext,
+    prompt: &Prompt,
+    engine: &Target,
+    reservation: Option<Reservation>,
+) {
+    let Some(reservation) = reservation else { return record_cached(request, prompt, engine) };
+    engine.engine.record_cached(&prompt.parts, request.shared.kv_capacity(&request.service.name));
+    reservation.complete(&prompt.parts);
+}
+
+fn fail_reservation(reservation: Option<Reservation>) {
+    if let Some(reservation) = reservation {
+        reservation.fail();
+    }
+}
+
+/// Reads the handle from the response and keeps the connection for reuse.
+async fn read_handle(
+    request: &RequestContext,
+    answered: attempt::Answered,
+) -> Option<CompactString> {
+    let attempt::Answered { response, head, connection } = answered;
+    let body =
+        tokio::time::timeout_at(request.response_deadline(), response.into_body().collect()).await;
+    let body = match body {
+        Ok(Ok(body)) => body.to_bytes(),
+        Ok(Err(error)) => {
+            log::info!(target: "request", id = request.attempt_id(), error:% = error;
+                "handle cut off");
+            return None;
+        }
+        Err(_) => return None,
+    };
+    connection.keep(head.keep_alive, Instant::now());
+    match request.shared.codec.decode_handle(&body) {
+        Ok(handle) => Some(handle),
+        Err(error) => {
+            log::warn!(target: "request", id = request.attempt_id(), error:% = error;
+                "handle not readable");
+            None
+        }
+    }
+}
