--- a/crates/policy/src/simulation.rs
+++ b/crates/policy/src/simulation.rs
@@ -1,21 +1,21 @@
-//! A small deterministic model of a pool, which drives the decisions of this crate.
+//! Small deterministic simulations that drive the decisions of this crate.
 //!
-//! It is no simulator of a cluster: engines are fluids with a rate for prompts and a rate for
-//! output, links take no time but where said, and only what the decisions see is modelled. The
-//! decisions themselves are the types that the daemons use. All arrivals and lengths come from one
-//! seed, so each figure is the same in every run and every way of deciding meets the same arrivals.
+//! They do not simulate a whole cluster: engines are modelled as fluids with a rate for prefill and
+//! a rate for decode, links take no time unless stated, and only what the decisions observe is
+//! modelled. The decisions themselves are the types that the daemons use. All arrivals and lengths
+//! derive from one seed, so results are reproducible, and all setups get the same arrivals.
 
 pub mod compare;
 pub mod disaggregated;
-pub mod figures;
 pub mod late_binding;
 pub mod oracle;
 pub mod pool;
+pub mod results;
 pub mod scenario;
 pub mod setup;
 pub mod swing;
 pub mod table;
-pub mod work;
+pub mod workload;
 
 mod engine;
 mod random;
--- a/crates/policy/src/simulation/late_binding.rs
+++ b/crates/policy/src/simulation/late_binding.rs
@@ -1,7 +1,8 @@
-//! Late binding: the ways of [`crate::binding`] on the same arrivals with unknown lengths.
+//! Late binding: compares the strategies of [`crate::binding`] on the same arrivals, whose lengths
+//! are unknown to them.
 //!
-//! After section 5.6 of Sanders, "Asynchronous Scheduling of Redundant Disk Arrays", with what
-//! differs for language models: lengths are log-normal instead of uniform, a target runs several
+//! Based on section 5.6 of Sanders, "Asynchronous Scheduling of Redundant Disk Arrays", with these
+//! changes for language models: lengths are log-normal instead of uniform, a target runs several
 //! requests at a time, and a claim costs a round trip to the entry.
 
 use super::Random;
@@ -12,32 +13,32 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// How lengths with a mean of 1 are spread, and how requests arrive.
+/// The distribution of lengths, with a mean of 1, and of arrivals.
 #[derive(Debug, Clone, Copy)]
 pub enum Lengths {
-    /// Log-normal, as outputs of language models are, with Poisson arrivals.
+    /// Log-normal lengths, like outputs of language models, with Poisson arrivals.
     LogNormal {
-        /// The spread of the logarithm.
+        /// The standard deviation of the logarithm.
         sigma: f64,
     },
-    /// Uniform from 0.7 to 1.3 with arrivals at equal distances, as in the paper.
+    /// Uniform lengths from 0.7 to 1.3 with arrivals at equal intervals, as in the paper.
     Paper,
 }
 
-/// One measurement.
+/// The parameters of one measurement.
 #[derive(Debug, Clone, Copy)]
 pub struct Setup {
-    /// Targets.
+    /// The number of targets.
     pub targets: usize,
-    /// Requests that a target runs side by side.
+    /// Requests that one target runs at once.
     pub slots: usize,
-    /// Load, as a share of capacity.
+    /// The load, relative to the capacity.
     pub load: f64,
-    /// How lengths are spread.
+    /// The distribution of lengths and arrivals.
     pub lengths: Lengths,
-    /// A round trip between agent and entry, as a share of the mean length.
+    /// The round trip between agent and entry, relative to the mean length.
     pub round_trip: f64,
-    /// Requests measured, after a tenth as many to warm up.
+    /// The number of measured requests; a tenth as many more run first as a warm-up.
     pub requests: usize,
 }
 
@@ -54,43 +55,43 @@
     }
 }
 
-/// What was measured; times in units of the mean length.
+/// The results of one measurement, with times in units of the mean length.
 #[derive(Debug, Clone, Copy)]
-pub struct Figures {
-    /// Mean, 99th and 99.9th of the wait until the start.
+pub struct Results {
+    /// Mean, 99th and 99.9th percentile of the time from arrival to start.
     pub wait: [f64; 3],
-    /// The same of the delay until the end.
+    /// Mean, 99th and 99.9th percentile of the time from arrival to end.
     pub delay: [f64; 3],
-    /// Messages for a request.
+    /// Messages per request.
     pub messages: f64,
 }
 
-/// The loads of the comparison.
+/// The loads at which strategies are compared.
 pub const LOADS: [f64; 5] = [0.7, 0.8, 0.9, 0.95, 0.98];
 
-/// Compares all ways at all loads.
+/// Compares all strategies at all loads.
 pub fn compare(base: &Setup) -> Table {
     let head =
         ["way", "load", "wait mean", "p99", "p99.9", "delay mean", "p99", "p99.9", "messages"];
     let mut table = Table::new(&head);
     for load in LOADS {
-        for way in binding::all() {
-            let figures = measure(&Setup { load, ..*base }, way.as_ref());
-            let mut cells = vec![way.name().to_owned(), format!("{load:.2}")];
-            let times = figures.wait.into_iter().chain(figures.delay);
+        for strategy in binding::all() {
+            let results = measure(&Setup { load, ..*base }, strategy.as_ref());
+            let mut cells = vec![strategy.name().to_owned(), format!("{load:.2}")];
+            let times = results.wait.into_iter().chain(results.delay);
             cells.extend(times.map(|time| format!("{time:.2}")));
-            cells.push(format!("{:.2}", figures.messages));
+            cells.push(format!("{:.2}", results.messages));
             table.row(cells);
         }
     }
     table
 }
 
-/// Measures one way of binding.
-pub fn measure(setup: &Setup, way: &dyn Binding) -> Figures {
-    let mut run = Run::new(setup, way);
-    run.all();
-    run.figures()
+/// Measures one strategy.
+pub fn measure(setup: &Setup, strategy: &dyn Binding) -> Results {
+    let mut run = Run::new(setup, strategy);
+    run.run();
+    run.results()
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -111,7 +112,7 @@
 
 struct Run<'a> {
     setup: &'a Setup,
-    way: &'a dyn Binding,
+    strategy: &'a dyn Binding,
     requests: Vec<Request>,
     targets: Vec<Target>,
     ends: BinaryHeap<Reverse<(u64, usize)>>,
@@ -120,18 +121,19 @@
     messages: u64,
 }
 
-/// Parts of a unit of time in which the histograms count, and the clock of ends.
-const PARTS: f64 = 1e6;
+/// The resolution of the histograms and of end times, in ticks per mean length.
+const TICKS_PER_UNIT: f64 = 1e6;
 
-/// The longest time that is told apart: 100,000 mean lengths.
-const MOST: u64 = 100_000_000_000;
+/// The longest time that the histograms resolve, in ticks: 100,000 mean lengths.
+const MAX_TICKS: u64 = 100_000_000_000;
 
 impl<'a> Run<'a> {
-    fn new(setup: &'a Setup, way: &'a dyn Binding) -> Self {
-        let histogram = || Histogram::new_with_max(MOST, 3).expect("these bounds are allowed");
+    fn new(setup: &'a Setup, strategy: &'a dyn Binding) -> Self {
+        let histogram =
+            || Histogram::new_with_max(MAX_TICKS, 3).expect("the bounds are valid constants");
         Self {
             setup,
-            way,
+            strategy,
             requests: arrivals(setup),
             targets: (0..setup.targets).map(|_| Target::default()).collect(),
             ends: BinaryHeap::new(),
@@ -141,18 +143,18 @@
         }
     }
 
-    fn all(&mut self) {
+    fn run(&mut self) {
         for id in 0..self.requests.len() {
             let now = self.requests[id].arrived;
-            self.end_until(now);
+            self.finish_until(now);
             self.arrive(id, now);
         }
-        self.end_until(f64::INFINITY);
+        self.finish_until(f64::INFINITY);
     }
 
-    fn end_until(&mut self, now: f64) {
+    fn finish_until(&mut self, now: f64) {
         while let Some(Reverse((at, target))) = self.ends.peek().copied() {
-            let at = float(at) / PARTS;
+            let at = float(at) / TICKS_PER_UNIT;
             if at > now {
                 return;
             }
@@ -164,27 +166,27 @@
 
     fn arrive(&mut self, id: usize, now: f64) {
         let candidates = self.requests[id].candidates;
-        let servers = candidates.map(|target| self.server(target));
+        let queues = candidates.map(|target| self.queue_state(target));
         self.messages += 1;
-        if let Some(free) = servers.iter().position(|server| server.idle) {
+        if let Some(free) = queues.iter().position(|queue| queue.idle) {
             return self.start(id, candidates[free], now);
         }
-        let bound = match self.way.place(&servers) {
+        let bound = match self.strategy.place(&queues) {
             Placement::Bound(index) => Some(index),
             Placement::Offered => None,
         };
         self.requests[id].bound = bound;
-        if self.way.notifies_all() {
+        if self.strategy.notifies_all() {
             self.messages += 1;
         }
         for (index, target) in candidates.into_iter().enumerate() {
-            if self.way.notifies_all() || bound == Some(index) {
+            if self.strategy.notifies_all() || bound == Some(index) {
                 self.targets[target].queue.push_back(id);
             }
         }
     }
 
-    fn server(&self, target: usize) -> QueueState {
+    fn queue_state(&self, target: usize) -> QueueState {
         let Target { queue, running } = &self.targets[target];
         let bound = queue.iter().filter(|&&id| self.bound_to(id) == Some(target)).count();
         let idle = *running < self.setup.slots;
@@ -199,17 +201,17 @@
     fn start_next(&mut self, target: usize, now: f64) {
         let offers: Vec<Offer> =
             self.targets[target].queue.iter().map(|&id| self.offer(id, target)).collect();
-        let Some(index) = self.way.next(&offers) else { return };
+        let Some(index) = self.strategy.next(&offers) else { return };
         let id = self.targets[target].queue[index];
-        let told = self.way.notifies_all();
-        let claimed = told && self.bound_to(id) != Some(target);
-        // A claim and its grant, then the withdrawal at the other; or that withdrawal alone.
-        self.messages += if claimed { 3 } else { u64::from(told) };
+        let notified = self.strategy.notifies_all();
+        let claimed = notified && self.bound_to(id) != Some(target);
+        // A claim, its grant and the withdrawal at the other candidate, or only the withdrawal.
+        self.messages += if claimed { 3 } else { u64::from(notified) };
         for candidate in self.requests[id].candidates {
             self.targets[candidate].queue.retain(|&queued| queued != id);
         }
-        let grant = if claimed { self.setup.round_trip } else { 0.0 };
-        self.start(id, target, now + grant);
+        let grant_delay = if claimed { self.setup.round_trip } else { 0.0 };
+        self.start(id, target, now + grant_delay);
     }
 
     fn offer(&self, id: usize, target: usize) -> Offer {
@@ -224,38 +226,38 @@
         let request = &mut self.requests[id];
         request.started = true;
         let end = at + request.length;
-        self.ends.push(Reverse((count(end * PARTS), target)));
+        self.ends.push(Reverse((count(end * TICKS_PER_UNIT), target)));
         if id >= self.setup.requests / 10 {
-            self.wait.saturating_record(count((at - request.arrived) * PARTS));
-            self.delay.saturating_record(count((end - request.arrived) * PARTS));
+            self.wait.saturating_record(count((at - request.arrived) * TICKS_PER_UNIT));
+            self.delay.saturating_record(count((end - request.arrived) * TICKS_PER_UNIT));
         }
     }
 
-    fn figures(&self) -> Figures {
-        let three = |h: &Histogram<u64>| {
-            let at = |quantile| float(h.value_at_quantile(quantile)) / PARTS;
-            [h.mean() / PARTS, at(0.99), at(0.999)]
+    fn results(&self) -> Results {
+        let summary = |h: &Histogram<u64>| {
+            let at = |quantile| float(h.value_at_quantile(quantile)) / TICKS_PER_UNIT;
+            [h.mean() / TICKS_PER_UNIT, at(0.99), at(0.999)]
         };
         let requests = float(u64::try_from(self.requests.len()).unwrap_or(1)).max(1.0);
         let messages = float(self.messages) / requests;
-        Figures { wait: three(&self.wait), delay: three(&self.delay), messages }
+        Results { wait: summary(&self.wait), delay: summary(&self.delay), messages }
     }
 }
 
-/// The arrivals, the same for all ways.
+/// Generates the arrivals, which are the same for all strategies.
 fn arrivals(setup: &Setup) -> Vec<Request> {
     let mut random = Random::new(1);
-    let servers = float(u64::try_from(setup.targets * setup.slots).unwrap_or(1));
-    let gap = 1.0 / (servers * setup.load);
+    let slots = float(u64::try_from(setup.targets * setup.slots).unwrap_or(1));
+    let mean_interval = 1.0 / (slots * setup.load);
     let mut now = 0.0;
     let mut request = || {
-        let (distance, length) = match setup.lengths {
+        let (interval, length) = match setup.lengths {
             Lengths::LogNormal { sigma } => {
-                (random.exponential(gap), random.log_normal(1.0, sigma))
+                (random.exponential(mean_interval), random.log_normal(1.0, sigma))
             }
-            Lengths::Paper => (gap, 0.7 + 0.6 * random.unit()),
+            Lengths::Paper => (mean_interval, 0.7 + 0.6 * random.unit()),
         };
-        now += distance;
+        now += interval;
         let first = random.below(setup.targets);
         let second = (first + 1 + random.below(setup.targets - 1)) % setup.targets;
         Request { arrived: now, length, candidates: [first, second], bound: None, started: false }
--- a/crates/policy/src/simulation/pool.rs
+++ b/crates/policy/src/simulation/pool.rs
@@ -1,4 +1,4 @@
-//! The run: entries, engines and calls, driven by events in order of time.
+//! The event loop of a simulation: entries, engines and calls, driven by events in order of time.
 
 mod crash;
 mod roles;
@@ -6,9 +6,9 @@
 
 use super::Random;
 use super::engine::{CallIndex, Engine, EngineSetup};
-use super::figures::{Figures, Outcome};
+use super::results::{Outcome, Results};
 use super::setup::Setup;
-use super::work::Arrival;
+use super::workload::Arrival;
 use crate::admission::Admission;
 use crate::estimate::{Cost, Estimator};
 use crate::limits::Limits;
@@ -23,70 +23,72 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// What is run.
-pub struct Plan {
-    /// The engines.
+/// What is simulated: a pool, its load and its failures.
+pub struct Scenario {
+    /// The engines of the pool.
     pub engines: Vec<EngineSetup>,
-    /// The entries.
+    /// The number of entries.
     pub entries: usize,
     /// The arrivals, in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Engines that crash, and when.
+    /// Crashes: the time in seconds, and the index of the engine.
     pub crashes: Vec<(f64, usize)>,
-    /// The time until no more calls are counted as asked for, in seconds.
+    /// The end of the measurement, in seconds: calls that end later do not count as goodput.
     pub end: f64,
 }
 
-/// Runs a plan under a setup.
-pub fn run(plan: &Plan, setup: &Setup) -> Figures {
+/// Simulates a scenario under a setup.
+pub fn run(scenario: &Scenario, setup: &Setup) -> Results {
     let planner = (setup.planner)(setup.roles.clone());
-    run_planned(plan, setup, planner)
+    run_with_planner(scenario, setup, planner)
 }
 
-/// Runs a plan under a setup, with this planner of roles.
-pub fn run_planned(plan: &Plan, setup: &Setup, planner: Box<dyn Planner>) -> Figures {
-    let mut pool = Pool::new(plan, setup, planner);
-    pool.all();
-    pool.figures
+/// Simulates a scenario under a setup, with this planner of roles instead of the setup's.
+pub fn run_with_planner(scenario: &Scenario, setup: &Setup, planner: Box<dyn Planner>) -> Results {
+    let mut pool = Pool::new(scenario, setup, planner);
+    pool.run();
+    pool.results
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
     Arrive(CallIndex),
     Submit(CallIndex),
-    Engine { engine: usize, epoch: u64 },
+    Progress { engine: usize, revision: u64 },
     Crash(usize),
-    Poison { engine: usize, call: CallIndex },
-    Up(usize),
-    RoleTaken { engine: usize, role: Role },
-    HandOver(CallIndex),
+    PoisonCrash { engine: usize, call: CallIndex },
+    Restart(usize),
+    RoleChanged { engine: usize, role: Role },
+    PlaceDecode(CallIndex),
     Tick,
 }
 
-/// Seconds between ticks: pings and the planner's look at its reports.
+/// Seconds between ticks, in which engines report their load and the planner decides on roles.
 const TICK: f64 = 1.0;
 
-/// Seconds after the end in which calls may still finish.
-const GRACE: f64 = 120.0;
+/// Seconds after the end of the scenario in which calls may still finish.
+const GRACE_PERIOD: f64 = 120.0;
 
-/// One call on its way.
+/// The state of one call, over all its attempts.
 #[derive(Debug, Clone)]
 struct Call {
     cost: Cost,
-    places: Vec<usize>,
+    /// Engines at which it is queued.
+    queued_at: Vec<usize>,
     engine: Option<usize>,
     started: f64,
     first_token: Option<f64>,
-    /// Output tokens that are still to be written, once it was moved.
-    left: Option<f64>,
+    /// Output tokens that are still to be generated, if it has lost its engine while decoding.
+    remaining_output: Option<f64>,
     cached: u32,
     attempts: u32,
-    handed_over: bool,
+    /// Whether its KV cache exists, so that it only needs an engine to decode.
+    decode_only: bool,
     admitted: bool,
     ended: bool,
 }
 
-/// What one entry knows.
+/// The state of one entry.
 struct Entry {
     candidates: Vec<Candidate>,
     route: Box<dyn Route>,
@@ -97,80 +99,83 @@
     domain: Hash,
 }
 
-/// The records of crashes, as the log holds them.
+/// The records of crashes, which the log holds in production.
 #[derive(Default)]
-struct Crashes(HashMap<Hash, CrashHistory>);
+struct CrashLog(HashMap<Hash, CrashHistory>);
 
-impl CrashRecords for Crashes {
+impl CrashRecords for CrashLog {
     fn history(&self, fingerprint: u64) -> CrashHistory {
         self.0.get(&fingerprint).copied().unwrap_or_default()
     }
 }
 
 struct Pool<'a> {
-    plan: &'a Plan,
+    scenario: &'a Scenario,
     setup: &'a Setup,
     planner: Box<dyn Planner>,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
     calls: Vec<Call>,
+    /// Time in nanoseconds, sequence number, and index in `scheduled`.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    planned: Vec<Event>,
-    crashes: Crashes,
+    scheduled: Vec<Event>,
+    crash_log: CrashLog,
     admission: Admission,
     quarantine: Quarantine,
     random: Random,
     demand: Demand,
     now: f64,
-    figures: Figures,
+    results: Results,
 }
 
-/// The name under which all engines serve.
-fn model() -> Hash {
+/// The language model that all engines serve.
+fn model_name() -> Hash {
     crate::hash("lapis-small")
 }
 
 impl<'a> Pool<'a> {
-    fn new(plan: &'a Plan, setup: &'a Setup, planner: Box<dyn Planner>) -> Self {
-        let engines = plan.engines.iter().map(|engine| Engine::new(*engine, (setup.queue)()));
+    fn new(scenario: &'a Scenario, setup: &'a Setup, planner: Box<dyn Planner>) -> Self {
+        let engines = scenario.engines.iter().map(|engine| Engine::new(*engine, (setup.queue)()));
         let mut pool = Self {
-            plan,
+            scenario,
             setup,
             planner,
             engines: engines.collect(),
-            entries: (0..plan.entries).map(|index| Entry::new(index, plan, setup)).collect(),
-            calls: vec![Call::new(); plan.arrivals.len()],
+            entries: (0..scenario.entries)
+                .map(|index| Entry::new(index, scenario, setup))
+                .collect(),
+            calls: vec![Call::new(); scenario.arrivals.len()],
             events: BinaryHeap::new(),
-            planned: Vec::new(),
-            crashes: Crashes::default(),
+            scheduled: Vec::new(),
+            crash_log: CrashLog::default(),
             admission: Admission::default(),
             quarantine: Quarantine::default(),
             random: Random::new(7),
             demand: Demand::default(),
             now: 0.0,
-            figures: Figures::new(plan.end, plan.engines.len()),
+            results: Results::new(scenario.end, scenario.engines.len()),
         };
-        for (call, arrival) in plan.arrivals.iter().enumerate() {
-            pool.at(arrival.at, Event::Arrive(call));
+        for (call, arrival) in scenario.arrivals.iter().enumerate() {
+            pool.schedule(arrival.at, Event::Arrive(call));
         }
-        for (at, engine) in &plan.crashes {
-            pool.at(*at, Event::Crash(*engine));
+        for (at, engine) in &scenario.crashes {
+            pool.schedule(*at, Event::Crash(*engine));
         }
-        pool.at(0.0, Event::Tick);
+        pool.schedule(0.0, Event::Tick);
         pool
     }
 
-    fn all(&mut self) {
+    fn run(&mut self) {
         while let Some(Reverse((at, _, index))) = self.events.pop() {
             self.now = float(at) / NANOS;
-            if self.now > self.plan.end + GRACE {
+            if self.now > self.scenario.end + GRACE_PERIOD {
                 break;
             }
-            let event = self.planned[index];
+            let event = self.scheduled[index];
             self.handle(event);
         }
         for call in 0..self.calls.len() {
-            self.end(call, Outcome::Late);
+            self.finish(call, Outcome::Late);
         }
     }
 
@@ -178,34 +183,34 @@
         match event {
             Event::Arrive(call) => self.arrive(call),
             Event::Submit(call) => self.submit(call),
-            Event::Engine { engine, epoch } => {
-                if self.engines[engine].epoch == epoch {
+            Event::Progress { engine, revision } => {
+                if self.engines[engine].revision == revision {
                     self.progress(engine);
                 }
             }
             Event::Crash(engine) => self.crash(engine, false),
-            Event::Poison { engine, call } => {
+            Event::PoisonCrash { engine, call } => {
                 if self.calls[call].engine == Some(engine) {
                     self.crash(engine, true);
                 }
             }
-            Event::Up(engine) => self.come_up(engine),
-            Event::RoleTaken { engine, role } => self.take_role(engine, role),
-            Event::HandOver(call) => self.hand_over(call),
+            Event::Restart(engine) => self.restart(engine),
+            Event::RoleChanged { engine, role } => self.finish_role_change(engine, role),
+            Event::PlaceDecode(call) => self.place_decode(call),
             Event::Tick => self.tick(),
         }
     }
 
-    /// Plans an event; events at one time happen in the order in which they were planned.
-    fn at(&mut self, at: f64, event: Event) {
-        let index = self.planned.len();
-        self.planned.push(event);
+    /// Schedules an event; events of equal time run in the order in which they were scheduled.
+    fn schedule(&mut self, at: f64, event: Event) {
+        let index = self.scheduled.len();
+        self.scheduled.push(event);
         let sequence = u64::try_from(index).unwrap_or(u64::MAX);
         self.events.push(Reverse((count(at * NANOS), sequence, index)));
     }
 
-    fn after(&mut self, seconds: f64, event: Event) {
-        self.at(self.now + seconds, event);
+    fn schedule_after(&mut self, seconds: f64, event: Event) {
+        self.schedule(self.now + seconds, event);
     }
 
     fn time(&self) -> Time {
@@ -216,41 +221,41 @@
         for engine in 0..self.engines.len() {
             self.progress(engine);
             for entry in 0..self.entries.len() {
-                self.tell(engine, entry);
+                self.report_load(engine, entry);
             }
         }
-        self.gossip();
+        self.share_usage();
         self.plan_roles();
-        if self.now + TICK < self.plan.end + GRACE {
-            self.after(TICK, Event::Tick);
+        if self.now + TICK < self.scenario.end + GRACE_PERIOD {
+            self.schedule_after(TICK, Event::Tick);
         }
     }
 
-    /// Lets entries tell each other about their callers.
-    fn gossip(&mut self) {
+    /// Shares the usage of callers among the entries.
+    fn share_usage(&mut self) {
         let now = self.time();
-        let told: Vec<_> = self.entries.iter().map(|entry| entry.limits.report(now)).collect();
+        let reports: Vec<_> = self.entries.iter().map(|entry| entry.limits.report(now)).collect();
         for (index, entry) in self.entries.iter_mut().enumerate() {
-            let others = told.iter().enumerate().filter(|(other, _)| *other != index);
+            let others = reports.iter().enumerate().filter(|(other, _)| *other != index);
             for (other, usage) in others {
                 entry.limits.observe_peer(crate::hash(&format!("entry-{other}")), usage, now);
             }
         }
     }
 
-    /// Ends a call once.
-    fn end(&mut self, call: CallIndex, outcome: Outcome) {
+    /// Ends a call and records its outcome; does nothing if it has ended before.
+    fn finish(&mut self, call: CallIndex, outcome: Outcome) {
         if std::mem::replace(&mut self.calls[call].ended, true) {
             return;
         }
-        let arrival = &self.plan.arrivals[call];
+        let arrival = &self.scenario.arrivals[call];
         if self.calls[call].admitted {
             let tokens = self.calls[call].tokens();
             let entry = &mut self.entries[arrival.entry];
             entry.limits.close(&arrival.caller, tokens, arrival.prompt + arrival.output);
         }
-        let counts = self.now <= self.plan.end;
-        self.figures.end(arrival, outcome, self.calls[call].first_token, counts);
+        let counts_as_goodput = self.now <= self.scenario.end;
+        self.results.record(arrival, outcome, self.calls[call].first_token, counts_as_goodput);
     }
 }
 
@@ -260,14 +265,14 @@
     fn new() -> Self {
         Self {
             cost: Cost::default(),
-            places: Vec::new(),
+            queued_at: Vec::new(),
             engine: None,
             started: 0.0,
             first_token: None,
-            left: None,
+            remaining_output: None,
             cached: 0,
             attempts: 0,
-            handed_over: false,
+            decode_only: false,
             admitted: false,
             ended: false,
         }
@@ -279,18 +284,19 @@
 }
 
 impl Entry {
-    fn new(index: usize, plan: &Plan, setup: &Setup) -> Self {
+    fn new(index: usize, scenario: &Scenario, setup: &Setup) -> Self {
         let candidate = |(number, engine): (usize, &EngineSetup)| {
             let domain = format!("domain-{}", engine.domain);
-            let mut candidate = Candidate::new(&format!("engine-{number}"), &domain, vec![model()]);
+            let mut candidate =
+                Candidate::new(&format!("engine-{number}"), &domain, vec![model_name()]);
             candidate.role = engine.role;
             candidate
         };
-        let domains = plan.engines.iter().map(|engine| engine.domain).max().unwrap_or(0) + 1;
+        let domains = scenario.engines.iter().map(|engine| engine.domain).max().unwrap_or(0) + 1;
         let mut limits = Limits::new(crate::limits::Settings::default());
-        limits.set_entries(plan.entries);
+        limits.set_entries(scenario.entries);
         Self {
-            candidates: plan.engines.iter().enumerate().map(candidate).collect(),
+            candidates: scenario.engines.iter().enumerate().map(candidate).collect(),
             route: (setup.route)(),
             outliers: OutlierDetector::default(),
             budget: Budget::default(),
--- a/crates/policy/src/simulation/pool/crash.rs
+++ b/crates/policy/src/simulation/pool/crash.rs
@@ -1,65 +1,66 @@
-//! Crashes, retries, and requests held apart for having run at one.
+//! Crashes of engines, retries, and the quarantine of calls that ran when an engine crashed.
 
 use super::{Event, Pool};
 use crate::admission::Reason;
 use crate::outlier::Sample;
 use crate::quarantine::Verdict;
 use crate::simulation::engine::CallIndex;
-use crate::simulation::figures::Outcome;
+use crate::simulation::results::Outcome;
 use conf::resource::Role;
 
-/// Seconds until an engine that crashed works again.
-const RESTART: f64 = 30.0;
+/// Seconds until a crashed engine is available again.
+const RESTART_TIME: f64 = 30.0;
 
-/// Seconds between looks whether a trial can begin.
-const TRIAL_WAIT: f64 = 0.5;
+/// Seconds until a call that waits for a trial is submitted again.
+const TRIAL_RETRY: f64 = 0.5;
 
-/// Attempts of those who keep no budget.
+/// Attempts per call in setups without retry budgets.
 const BASELINE_ATTEMPTS: u32 = 3;
 
 impl Pool<'_> {
-    /// An engine is gone, with all that ran there; what waited there goes elsewhere. What ran is
-    /// suspect if the agent beside the engine lives on to say so; if the VM is gone, none is.
-    pub(super) fn crash(&mut self, engine: usize, suspects: bool) {
+    /// Stops an engine: calls that ran there fail, and calls that waited there move to others. The
+    /// running calls become suspects only if the engine's agent survives to report them, which it
+    /// does not if the whole VM is lost.
+    pub(super) fn crash(&mut self, engine: usize, agent_survives: bool) {
         if !self.engines[engine].up {
             return;
         }
         self.engines[engine].advance(self.now);
-        self.figures.crashes += 1;
+        self.results.crashes += 1;
         self.engines[engine].up = false;
-        self.engines[engine].epoch += 1;
-        let lost = self.engines[engine].take_running();
-        for &(call, left) in &lost {
+        self.engines[engine].revision += 1;
+        let lost = self.engines[engine].drain_running();
+        for &(call, remaining) in &lost {
             // A stream resumes from the last token that was delivered.
-            self.calls[call].left = left.or(self.calls[call].left);
-            if suspects {
-                self.suspect(call, engine);
+            self.calls[call].remaining_output = remaining.or(self.calls[call].remaining_output);
+            if agent_survives {
+                self.record_suspect(call, engine);
             }
-            self.free(call, engine);
+            self.release_slot(call, engine);
         }
         if let Some(call) = self.engines[engine].exclusive.take() {
-            self.after(TRIAL_WAIT, Event::Submit(call));
+            self.schedule_after(TRIAL_RETRY, Event::Submit(call));
         }
         self.move_waiting(engine);
         for (call, _) in lost {
             self.sample(call, engine, Sample::Failed);
             self.retry(call, engine);
         }
-        self.after(RESTART, Event::Up(engine));
+        self.schedule_after(RESTART_TIME, Event::Restart(engine));
     }
 
-    /// Sends what waited at an engine elsewhere; it has not run, so that costs no retry.
+    /// Moves calls that waited at an engine to others. They have not run, so this costs no retry.
     pub(super) fn move_waiting(&mut self, engine: usize) {
-        let waits = |call: &CallIndex| self.calls[*call].places.contains(&engine);
+        let waits = |call: &CallIndex| self.calls[*call].queued_at.contains(&engine);
         let waiting: Vec<CallIndex> = (0..self.calls.len()).filter(waits).collect();
         for call in waiting {
             self.engines[engine].queue.remove(u64::try_from(call).unwrap_or(u64::MAX));
-            self.calls[call].places.retain(|place| *place != engine);
-            if !self.calls[call].places.is_empty() {
+            self.calls[call].queued_at.retain(|queued| *queued != engine);
+            if !self.calls[call].queued_at.is_empty() {
                 continue;
             }
-            if self.calls[call].handed_over {
-                self.hand_over(call);
+            if self.calls[call].decode_only {
+                self.place_decode(call);
             } else {
                 self.submit(call);
             }
@@ -68,40 +69,40 @@
 
     fn retry(&mut self, call: CallIndex, engine: usize) {
         self.calls[call].attempts += 1;
-        self.calls[call].handed_over = false;
+        self.calls[call].decode_only = false;
         let attempts = self.calls[call].attempts;
         let now = self.time();
-        let arrival = &self.plan.arrivals[call];
+        let arrival = &self.scenario.arrivals[call];
         let entry = &mut self.entries[arrival.entry];
         let target = entry.candidates[engine].name.clone();
-        let wait = if self.setup.budgets {
+        let wait = if self.setup.retry_budgets {
             entry.budget.spend(&arrival.caller, &target, attempts, now, self.random.rng())
         } else {
             (attempts < BASELINE_ATTEMPTS).then_some(std::time::Duration::ZERO)
         };
         match wait {
             Some(wait) => {
-                self.figures.retries += 1;
-                self.after(wait.as_secs_f64(), Event::Submit(call));
+                self.results.retries += 1;
+                self.schedule_after(wait.as_secs_f64(), Event::Submit(call));
             }
-            None => self.end(call, Outcome::Failed),
+            None => self.finish(call, Outcome::Failed),
         }
     }
 
-    pub(super) fn come_up(&mut self, engine: usize) {
+    pub(super) fn restart(&mut self, engine: usize) {
         self.engines[engine].up = true;
         self.progress(engine);
     }
 
-    /// A poisonous request is the same each time; others are all different.
+    /// Poison requests of a class are all the same request; other calls are all different.
     fn fingerprint(&self, call: CallIndex) -> u64 {
-        let arrival = &self.plan.arrivals[call];
+        let arrival = &self.scenario.arrivals[call];
         if arrival.poison { crate::hash(arrival.class) } else { u64::try_from(call).unwrap_or(0) }
     }
 
-    fn suspect(&mut self, call: CallIndex, engine: usize) {
+    fn record_suspect(&mut self, call: CallIndex, engine: usize) {
         let fingerprint = self.fingerprint(call);
-        let history = self.crashes.0.entry(fingerprint).or_default();
+        let history = self.crash_log.0.entry(fingerprint).or_default();
         history.crashes += 1;
         if self.engines[engine].exclusive == Some(call) {
             history.alone += 1;
@@ -109,9 +110,9 @@
         }
     }
 
-    pub(super) fn verdict(&self, call: CallIndex) -> Verdict {
+    pub(super) fn quarantine_verdict(&self, call: CallIndex) -> Verdict {
         if self.setup.quarantine {
-            self.quarantine.decide(&self.crashes, self.fingerprint(call))
+            self.quarantine.decide(&self.crash_log, self.fingerprint(call))
         } else {
             Verdict::Normal
         }
@@ -119,37 +120,38 @@
 
     pub(super) fn clear_suspicion(&mut self, call: CallIndex) {
         let fingerprint = self.fingerprint(call);
-        self.crashes.0.remove(&fingerprint);
+        self.crash_log.0.remove(&fingerprint);
     }
 
-    /// Reserves the engine with the least to do for a suspect, once no other trial is there.
-    pub(super) fn try_alone(&mut self, call: CallIndex) {
+    /// Reserves the least loaded engine for running a suspect alone, or waits while too many
+    /// engines are reserved.
+    pub(super) fn reserve_trial(&mut self, call: CallIndex) {
         let trials = self.engines.iter().filter(|engine| engine.exclusive.is_some()).count();
-        let most = (self.engines.len() / 8).max(1);
+        let max_trials = (self.engines.len() / 8).max(1);
         let free = (0..self.engines.len()).filter(|&index| {
             let engine = &self.engines[index];
-            engine.works() && engine.exclusive.is_none() && engine.role == Role::Mixed
+            engine.is_available() && engine.exclusive.is_none() && engine.role == Role::Mixed
         });
         let least = free.min_by_key(|&index| self.engines[index].running().work());
-        let Some(engine) = least.filter(|_| trials < most) else {
+        let Some(engine) = least.filter(|_| trials < max_trials) else {
             return self.wait_for_trial(call);
         };
         let fingerprint = self.fingerprint(call);
-        self.crashes.0.entry(fingerprint).or_default().running_alone = true;
+        self.crash_log.0.entry(fingerprint).or_default().running_alone = true;
         self.engines[engine].exclusive = Some(call);
-        self.kick(engine);
+        self.dispatch(engine);
     }
 
     pub(super) fn wait_for_trial(&mut self, call: CallIndex) {
-        if self.is_given_up(call) {
-            return self.end(call, Outcome::Refused(Reason::DeadlineUnreachable));
+        if self.is_expired(call) {
+            return self.finish(call, Outcome::Refused(Reason::DeadlineUnreachable));
         }
-        self.after(TRIAL_WAIT, Event::Submit(call));
+        self.schedule_after(TRIAL_RETRY, Event::Submit(call));
     }
 
-    /// Whether a call is too late; what has begun to stream resumes and is never given up.
-    fn is_given_up(&self, call: CallIndex) -> bool {
-        let arrival = &self.plan.arrivals[call];
+    /// Whether a call is past its deadline; a call that has begun to stream never expires.
+    fn is_expired(&self, call: CallIndex) -> bool {
+        let arrival = &self.scenario.arrivals[call];
         let late = self.now > arrival.at + arrival.deadline;
         late && self.calls[call].first_token.is_none()
     }
@@ -161,14 +163,14 @@
         if !waits {
             return;
         }
-        if self.is_given_up(call) {
-            // A trial that nobody waits for would only risk a second engine.
+        if self.is_expired(call) {
+            // The caller no longer waits: a trial would only risk another engine.
             let fingerprint = self.fingerprint(call);
-            self.crashes.0.entry(fingerprint).or_default().running_alone = false;
+            self.crash_log.0.entry(fingerprint).or_default().running_alone = false;
             self.engines[engine].exclusive = None;
-            return self.end(call, Outcome::Refused(Reason::DeadlineUnreachable));
+            return self.finish(call, Outcome::Refused(Reason::DeadlineUnreachable));
         }
-        if self.engines[engine].works() && self.engines[engine].is_idle() {
+        if self.engines[engine].is_available() && self.engines[engine].is_idle() {
             self.start(call, engine);
         }
     }
--- a/crates/policy/src/simulation/figures.rs
+++ b/crates/policy/src/simulation/results.rs
@@ -1,6 +1,6 @@
-//! What callers received in a run.
+//! The results of a simulation, as callers see them.
 
-use super::work::Arrival;
+use super::workload::Arrival;
 use crate::admission::Reason;
 use crate::estimate::Cost;
 use crate::number::float;
@@ -10,39 +10,39 @@
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Whole and in time.
-    Useful,
-    /// Whole, but the first token or the end came too late.
+    /// Completed in time.
+    InTime,
+    /// Completed, but the first token or the end came too late.
     Late,
-    /// Refused, not run.
+    /// Refused before it ran.
     Refused(Reason),
-    /// Cut off by a crash and not tried again.
+    /// Broken off by a crash and not retried.
     Failed,
 }
 
-/// The calls of one class or one caller.
+/// Counts of the calls of one class or one caller, by outcome.
 #[derive(Debug, Clone, Default)]
 pub struct Tally {
-    /// Calls that ended, or were due before the end of the run.
-    pub asked: u64,
-    /// Those that ended well.
-    pub useful: u64,
-    /// Output tokens of those.
+    /// All calls.
+    pub calls: u64,
+    /// Calls completed in time.
+    pub in_time: u64,
+    /// Output tokens of the calls completed in time.
     pub tokens: u64,
-    /// Those refused.
+    /// Calls that were refused.
     pub refused: u64,
-    /// Those that were late.
+    /// Calls that were late, or had not ended when the simulation stopped.
     pub late: u64,
-    /// Those that failed.
+    /// Calls that failed.
     pub failed: u64,
 }
 
 impl Tally {
     fn add(&mut self, outcome: Outcome, output: u64) {
-        self.asked += 1;
+        self.calls += 1;
         match outcome {
-            Outcome::Useful => {
-                self.useful += 1;
+            Outcome::InTime => {
+                self.in_time += 1;
                 self.tokens += output;
             }
             Outcome::Late => self.late += 1,
@@ -51,44 +51,44 @@
         }
     }
 
-    /// The part of the calls that ended well.
-    pub fn hit_rate(&self) -> f64 {
-        if self.asked == 0 { 0.0 } else { float(self.useful) / float(self.asked) }
+    /// The fraction of the calls that completed in time.
+    pub fn in_time_rate(&self) -> f64 {
+        if self.calls == 0 { 0.0 } else { float(self.in_time) / float(self.calls) }
     }
 }
 
-/// The figures of a run.
+/// The results of a simulation.
 #[derive(Debug, Clone)]
-pub struct Figures {
-    /// By class.
+pub struct Results {
+    /// Calls by class.
     pub classes: BTreeMap<&'static str, Tally>,
-    /// By caller.
+    /// Calls by caller.
     pub callers: BTreeMap<crate::CallerId, Tally>,
-    /// Time to the first token of calls that had one, in milliseconds, by class.
+    /// Time to first token by class, in milliseconds.
     pub first_token: BTreeMap<&'static str, Histogram<u64>>,
-    /// Output tokens of useful calls that ended within the run.
+    /// Output tokens of calls that completed in time and before the end of the scenario.
     pub tokens: u64,
-    /// Work of those calls.
+    /// The work of those calls.
     pub work: Cost,
-    /// Useful output tokens by second of their arrival's time.
-    pub by_time: BTreeMap<u64, u64>,
+    /// Output tokens of those calls, by the second of arrival.
+    pub tokens_by_arrival: BTreeMap<u64, u64>,
     /// First attempts.
     pub attempts: u64,
     /// Retries after failures.
     pub retries: u64,
-    /// Crashes.
+    /// Crashes of engines.
     pub crashes: u64,
-    /// Role changes ordered.
+    /// Role changes that the planner ordered.
     pub role_changes: u64,
-    /// Messages from entries to agents for submitting, claiming and withdrawing.
+    /// Messages from entries to agents for submitting, claiming and withdrawing calls.
     pub messages: u64,
-    /// Seconds that were measured.
+    /// The measured time, in seconds.
     pub seconds: f64,
-    /// Engines of the pool.
+    /// The number of engines in the pool.
     pub engines: usize,
 }
 
-impl Figures {
+impl Results {
     pub(super) fn new(seconds: f64, engines: usize) -> Self {
         Self {
             classes: BTreeMap::new(),
@@ -96,7 +96,7 @@
             first_token: BTreeMap::new(),
             tokens: 0,
             work: Cost::default(),
-            by_time: BTreeMap::new(),
+            tokens_by_arrival: BTreeMap::new(),
             attempts: 0,
             retries: 0,
             crashes: 0,
@@ -107,40 +107,40 @@
         }
     }
 
-    /// Books how a call ended; `counts` says whether its tokens count as goodput, which they don't
-    /// after the end of the run, when the load is gone.
-    pub(super) fn end(
+    /// Records the outcome of a call. Its tokens do not count as goodput if it ended after the end
+    /// of the scenario, when there is no load any more.
+    pub(super) fn record(
         &mut self,
         arrival: &Arrival,
         outcome: Outcome,
         first_token: Option<f64>,
-        counts: bool,
+        counts_as_goodput: bool,
     ) {
         self.classes.entry(arrival.class).or_default().add(outcome, arrival.output);
         self.callers.entry(arrival.caller.clone()).or_default().add(outcome, arrival.output);
-        if outcome == Outcome::Useful && counts {
+        if outcome == Outcome::InTime && counts_as_goodput {
             self.tokens += arrival.output;
             self.work += Cost::new(arrival.prompt, arrival.output);
-            *self.by_time.entry(crate::number::count(arrival.at.floor())).or_default() +=
+            *self.tokens_by_arrival.entry(crate::number::count(arrival.at.floor())).or_default() +=
                 arrival.output;
         }
         let Some(first) = first_token else { return };
         let histogram = self.first_token.entry(arrival.class).or_insert_with(|| {
-            Histogram::new_with_max(MOST_MILLIS, 3).expect("these bounds are allowed")
+            Histogram::new_with_max(MAX_MILLIS, 3).expect("the bounds are valid constants")
         });
         histogram.saturating_record(crate::number::count((first - arrival.at) * 1e3));
     }
 
-    /// Useful output tokens a second.
+    /// Output tokens per second of calls completed in time.
     pub fn goodput(&self) -> f64 {
         float(self.tokens) / self.seconds
     }
 
-    /// All calls.
+    /// The counts over all classes.
     pub fn total(&self) -> Tally {
         self.classes.values().fold(Tally::default(), |sum, tally| Tally {
-            asked: sum.asked + tally.asked,
-            useful: sum.useful + tally.useful,
+            calls: sum.calls + tally.calls,
+            in_time: sum.in_time + tally.in_time,
             tokens: sum.tokens + tally.tokens,
             refused: sum.refused + tally.refused,
             late: sum.late + tally.late,
@@ -148,17 +148,17 @@
         })
     }
 
-    /// The part of its calls that went well for the caller of `class` that fared worst.
+    /// The lowest fraction of calls completed in time of any caller of `class`.
     pub fn worst_caller(&self, class: &str) -> f64 {
         let of_class = self.callers.iter().filter(|(caller, _)| caller.starts_with(class));
-        of_class.map(|(_, tally)| tally.hit_rate()).fold(1.0, f64::min)
+        of_class.map(|(_, tally)| tally.in_time_rate()).fold(1.0, f64::min)
     }
 
-    /// The 99th of the time to the first token of a class, in seconds.
+    /// The 99th percentile of the time to first token of a class, in seconds.
     pub fn first_token_p99(&self, class: &str) -> f64 {
         self.first_token.get(class).map_or(0.0, |h| float(h.value_at_quantile(0.99)) / 1e3)
     }
 }
 
-/// The longest time to a first token that is told apart: an hour.
-const MOST_MILLIS: u64 = 3_600_000;
+/// The longest time to first token that the histograms resolve: an hour.
+const MAX_MILLIS: u64 = 3_600_000;
--- a/crates/policy/src/simulation/setup.rs
+++ b/crates/policy/src/simulation/setup.rs
@@ -1,4 +1,4 @@
-//! Which decisions are in force in a run, as trait objects and switches.
+//! The decisions that a simulation uses, as trait objects and switches.
 
 use super::engine::{CallIndex, EngineSetup, MIXED_EFFICIENCY, SLOTS};
 use crate::limits::Limit;
@@ -7,32 +7,32 @@
 use crate::route::{LeastConnections, RoundRobin, Route, Weighted};
 use conf::resource::Role;
 
-/// The decisions in force.
+/// The decisions that a simulation uses.
 #[derive(Clone)]
 pub struct Setup {
-    /// The name in tables.
+    /// The name of the setup in tables.
     pub name: &'static str,
     /// How targets are chosen.
     pub route: fn() -> Box<dyn Route>,
-    /// In which order requests start.
+    /// The order in which requests start.
     pub queue: fn() -> Box<dyn Discipline<CallIndex>>,
     /// How engines get their roles.
     pub planner: fn(roles::Settings) -> Box<dyn Planner>,
     /// The settings of the planner.
     pub roles: roles::Settings,
-    /// Whether requests that cannot meet their deadline are refused at once.
+    /// Whether requests that cannot meet their deadline are refused on arrival.
     pub admission: bool,
-    /// Whether requests are offered to two targets and bound when one starts them.
-    pub late: bool,
-    /// Whether slow and failing targets are relieved.
+    /// Whether requests are queued at two targets and bound when one of them starts them.
+    pub late_binding: bool,
+    /// Whether slow and failing targets are ejected.
     pub outliers: bool,
-    /// Whether engines are told to read urgent and short prompts first.
+    /// Whether engines prefill urgent and short prompts first.
     pub priorities: bool,
-    /// Whether retries are paid from budgets.
-    pub budgets: bool,
-    /// Whether requests that ran at a crash are held apart.
+    /// Whether retries are bounded by retry budgets.
+    pub retry_budgets: bool,
+    /// Whether requests that ran when an engine crashed are quarantined.
     pub quarantine: bool,
-    /// The limit of each caller.
+    /// The rate and concurrency limit of each caller.
     pub limit: Limit,
 }
 
@@ -46,21 +46,21 @@
             planner: |settings| Box::new(RolePlanner::new(settings)),
             roles: roles::Settings::default(),
             admission: true,
-            late: true,
+            late_binding: true,
             outliers: true,
             priorities: true,
-            budgets: true,
+            retry_budgets: true,
             quarantine: true,
             limit: Limit::default(),
         }
     }
 
-    /// All but changes of roles.
+    /// All decisions but role changes.
     pub fn static_roles() -> Self {
         Self { name: "lapismast, static roles", planner: |_| Box::new(StaticRoles), ..Self::all() }
     }
 
-    /// All, but long and short requests in one class.
+    /// All decisions, but with long and short requests in one class.
     pub fn one_class() -> Self {
         Self {
             name: "lapismast, one size class",
@@ -73,7 +73,7 @@
         }
     }
 
-    /// All but the queue's order and admission.
+    /// All decisions but the queue's order and admission: first come, first served.
     pub fn first_come() -> Self {
         Self {
             name: "lapismast, first come first served",
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Targets in turn, first come first served, nothing else.
+    /// A baseline: round-robin routing with first-come-first-served queues.
     pub fn round_robin() -> Self {
         Self {
             name: "round robin",
@@ -91,16 +91,17 @@
             queue: || Box::new(Fifo::new(SLOTS)),
             planner: |_| Box::new(StaticRoles),
             admission: false,
-            late: false,
+            late_binding: false,
             outliers: false,
             priorities: false,
-            budgets: false,
+            retry_budgets: false,
             quarantine: false,
             ..Self::all()
         }
     }
 
-    /// The target with the fewest requests, first come first served, nothing else.
+    /// A baseline: routing to the target with the fewest requests, with first-come-first-served
+    /// queues.
     pub fn least_connections() -> Self {
         Self {
             name: "least connections",
@@ -110,14 +111,14 @@
     }
 }
 
-/// Engines in `domains` failure domains, all mixed and equally fast.
-pub fn engines(many: usize, domains: usize) -> Vec<EngineSetup> {
+/// Creates engines in `domains` failure domains, all mixed and equally fast.
+pub fn engines(number: usize, domains: usize) -> Vec<EngineSetup> {
     let engine = |index: usize| EngineSetup {
         domain: index % domains,
         role: Role::Mixed,
-        slowness: 1.0,
+        slowdown: 1.0,
         failing: false,
         mixed_efficiency: MIXED_EFFICIENCY,
     };
-    (0..many).map(engine).collect()
+    (0..number).map(engine).collect()
 }
--- a/crates/policy/src/simulation/table.rs
+++ b/crates/policy/src/simulation/table.rs
@@ -1,8 +1,8 @@
-//! Tables in Markdown, as `docs/DECISIONS.md` holds them.
+//! Markdown tables in the format of `docs/DECISIONS.md`.
 
 use std::fmt;
 
-/// A table whose cells are text.
+/// A Markdown table.
 #[derive(Debug, Clone, Default)]
 pub struct Table {
     head: Vec<String>,
@@ -10,7 +10,7 @@
 }
 
 impl Table {
-    /// Makes a table with these columns and no rows.
+    /// Creates a table with these column headings and no rows.
     pub fn new(head: &[&str]) -> Self {
         Self { head: head.iter().map(ToString::to_string).collect(), rows: Vec::new() }
     }
--- a/crates/policy/src/simulation/work.rs
+++ b/crates/policy/src/simulation/workload.rs
@@ -1,37 +1,38 @@
-//! What callers ask for: streams of requests, and the arrivals they make.
+//! The load of a simulation: streams of requests and the arrivals that they generate.
 
 use super::Random;
 use crate::CallerId;
 use crate::number::count;
 
-/// The requests of one kind from one or more callers.
+/// Requests of one kind from one or more callers.
 #[derive(Debug, Clone)]
-pub struct Stream {
-    /// The class that results are given for.
+pub struct ArrivalStream {
+    /// The class under which results are counted.
     pub class: &'static str,
-    /// How many callers send it, in equal parts.
+    /// The number of callers that send the requests, in equal parts.
     pub callers: usize,
-    /// Requests a second of all of them, by pieces: from this second on, this many.
+    /// Requests per second of all callers, as a step function: the second from which a rate holds,
+    /// and the rate.
     pub rate: Vec<(f64, f64)>,
     /// Mean prompt tokens.
     pub prompt: f64,
     /// Mean output tokens.
     pub output: f64,
-    /// The spread of both: sigma of the log-normal distribution.
+    /// The sigma of the log-normal distribution of both lengths.
     pub sigma: f64,
-    /// Whether they are urgent.
+    /// Whether the requests are urgent.
     pub urgent: bool,
-    /// Seconds until the first token is due.
+    /// The deadline of the first token, in seconds from arrival.
     pub deadline: f64,
-    /// How many prefixes they share, 0 for none.
+    /// The number of prefixes that the requests share, 0 for none.
     pub prefixes: usize,
-    /// The part of the prompt that is the prefix.
+    /// The fraction of the prompt that is the prefix.
     pub prefix_share: f64,
-    /// Whether they crash the engine that runs them.
+    /// Whether the requests crash the engine that runs them.
     pub poison: bool,
 }
 
-impl Default for Stream {
+impl Default for ArrivalStream {
     fn default() -> Self {
         Self {
             class: "short",
@@ -49,56 +50,57 @@
     }
 }
 
-/// One request of a caller.
+/// The arrival of one request.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When, in seconds.
+    /// The time of arrival, in seconds.
     pub at: f64,
-    /// Its stream's class.
+    /// The class of its stream.
     pub class: &'static str,
-    /// Who sends it.
+    /// The caller that sends it.
     pub caller: CallerId,
-    /// The entry that gets it.
+    /// The entry that receives it.
     pub entry: usize,
     /// Prompt tokens.
     pub prompt: u64,
-    /// Output tokens, which no decision knows.
+    /// Output tokens; decisions do not know them in advance.
     pub output: u64,
     /// Whether it is urgent.
     pub urgent: bool,
-    /// Seconds until the first token is due.
+    /// The deadline of the first token, in seconds from arrival.
     pub deadline: f64,
-    /// The shared prefix, or 0.
+    /// The hash of the shared prefix, 0 for none.
     pub prefix: u64,
-    /// The prefix's part of the prompt.
+    /// The fraction of the prompt that is the prefix.
     pub prefix_share: f64,
     /// Whether it crashes the engine that runs it.
     pub poison: bool,
 }
 
-/// Output tokens at most, as engines limit them.
-const MOST_OUTPUT: f64 = 16_000.0;
+/// The maximum output tokens of a request, which engines enforce.
+const MAX_OUTPUT: f64 = 16_000.0;
 
-/// Makes the arrivals of all streams until `end` seconds, in order of time.
-pub fn arrivals(streams: &[Stream], entries: usize, end: f64, seed: u64) -> Vec<Arrival> {
+/// Generates the arrivals of all streams until `end` seconds, in order of time.
+pub fn arrivals(streams: &[ArrivalStream], entries: usize, end: f64, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
     for (index, stream) in streams.iter().enumerate() {
         let salt = u64::try_from(index).unwrap_or(0);
-        stream.arrive(entries, end, &mut Random::new(seed ^ (salt << 32)), &mut all);
+        stream.generate(entries, end, &mut Random::new(seed ^ (salt << 32)), &mut all);
     }
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
     all
 }
 
-impl Stream {
+impl ArrivalStream {
     /// The rate at a time.
     pub(super) fn rate_at(&self, at: f64) -> f64 {
-        let pieces = self.rate.iter().rev();
-        pieces.clone().find(|(from, _)| *from <= at).map_or(0.0, |(_, rate)| *rate)
+        let steps = self.rate.iter().rev();
+        steps.clone().find(|(from, _)| *from <= at).map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// Draws arrivals at the highest rate and keeps the part that the rate of the time asks for.
-    fn arrive(&self, entries: usize, end: f64, random: &mut Random, all: &mut Vec<Arrival>) {
+    /// Generates Poisson arrivals by thinning: draws them at the highest rate, and keeps the fraction
+    /// that the rate at the time requires.
+    fn generate(&self, entries: usize, end: f64, random: &mut Random, all: &mut Vec<Arrival>) {
         let highest = self.rate.iter().map(|(_, rate)| *rate).fold(0.0, f64::max);
         if highest <= 0.0 {
             return;
@@ -116,9 +118,9 @@
         let caller = random.below(self.callers.max(1));
         let prefix = match self.prefixes {
             0 => 0,
-            many => crate::hash(&format!("{}-{}", self.class, random.below(many))),
+            number => crate::hash(&format!("{}-{}", self.class, random.below(number))),
         };
-        let output = random.log_normal(self.output, self.sigma).min(MOST_OUTPUT);
+        let output = random.log_normal(self.output, self.sigma).min(MAX_OUTPUT);
         Arrival {
             at,
             class: self.class,
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The measurements of `docs/DECISIONS.md` at a reduced size, and the promises that they keep.
+//! The measurements of `docs/DECISIONS.md` at a reduced scale, and the guarantees that they have to
+//! meet.
 
 use conf::resource::Policy;
 use policy::binding::{Binding, LazyQueue, ShortestQueue, Stealing};
@@ -12,8 +13,11 @@
 
 #[test]
 fn the_tables_have_not_changed() {
-    let table = |name: &str, classes: &[&str], plan: pool::Plan| {
-        insta::assert_snapshot!(name.to_owned(), compare(&plan, &setups(), classes).to_string());
+    let table = |name: &str, classes: &[&str], scenario: pool::Scenario| {
+        insta::assert_snapshot!(
+            name.to_owned(),
+            compare(&scenario, &setups(), classes).to_string()
+        );
     };
     table("burst", &["short", "urgent"], scenario::burst(SMALL));
     table("hot-caller", &["short", "hot"], scenario::hot_caller(SMALL));
@@ -29,33 +33,34 @@
     insta::assert_snapshot!("late-binding", late.to_string());
 }
 
-// Three times what the fleet can do comes in for minutes. First come, first served, all of it
-// would be late, and callers would get next to nothing.
+// A load of three times the capacity lasts for minutes. With first-come-first-served queues nearly
+// all requests would be late, and goodput would collapse.
 #[test]
 fn goodput_stays_at_capacity_under_overload() {
-    let plan = scenario::overload(3.0, Scale(1.0));
+    let scenario = scenario::overload(3.0, Scale(1.0));
     let capacity = capacity_tokens(ENGINES);
-    let ours = pool::run(&plan, &Setup::all());
+    let ours = pool::run(&scenario, &Setup::all());
     assert!(ours.goodput() > 0.95 * capacity, "{} of {capacity}", ours.goodput());
-    assert!(ours.classes["urgent"].hit_rate() > 0.99);
-    let first_come = pool::run(&plan, &Setup::first_come());
+    assert!(ours.classes["urgent"].in_time_rate() > 0.99);
+    let first_come = pool::run(&scenario, &Setup::first_come());
     assert!(first_come.goodput() < 0.3 * capacity, "{}", first_come.goodput());
 }
 
-// One caller asks for the whole capacity. The others ask for less than their shares and should not
-// notice.
+// One caller demands the whole capacity. The others demand less than their fair shares and must not
+// be affected.
 #[test]
-fn a_hot_caller_takes_nothing_from_the_others() {
-    let plan = scenario::hot_caller(Scale(0.5));
-    let ours = pool::run(&plan, &Setup::static_roles());
+fn a_hot_caller_does_not_affect_the_others() {
+    let scenario = scenario::hot_caller(Scale(0.5));
+    let ours = pool::run(&scenario, &Setup::static_roles());
     assert!(ours.worst_caller("short") > 0.99, "{}", ours.worst_caller("short"));
-    let baseline = pool::run(&plan, &Setup::least_connections());
+    let baseline = pool::run(&scenario, &Setup::least_connections());
     assert!(baseline.worst_caller("short") < 0.5);
 }
 
-// Batches of jobs 25 times as long fill all slots. A short answer then waits for a minute.
+// Batches of jobs 25 times as long fill all slots. Without size classes a short request then waits
+// for a minute.
 #[test]
-fn short_answers_hardly_notice_long_ones() {
+fn short_requests_are_hardly_delayed_by_long_ones() {
     let alone = pool::run(&scenario::short_alone(Scale(1.0)), &Setup::all());
     let among = scenario::long_among_short(Scale(1.0));
     let p99 = |setup| pool::run(&among, &setup).first_token_p99("short");
@@ -64,64 +69,67 @@
     assert!(p99(Setup::one_class()) > limit);
 }
 
-// A target slower by ten, or one that fails everything and looks idle.
+// One target is ten times slower than its peers, or fails every request and so looks idle.
 #[test]
 fn slow_and_failing_targets_cost_almost_nothing() {
-    for plan in [scenario::slow_target(Scale(1.0)), scenario::failing_target(Scale(1.0))] {
-        let ours = pool::run(&plan, &Setup::all()).total().hit_rate();
-        let baseline = pool::run(&plan, &Setup::least_connections()).total().hit_rate();
+    for scenario in [scenario::slow_target(Scale(1.0)), scenario::failing_target(Scale(1.0))] {
+        let ours = pool::run(&scenario, &Setup::all()).total().in_time_rate();
+        let baseline = pool::run(&scenario, &Setup::least_connections()).total().in_time_rate();
         assert!(ours > 0.995 && baseline < ours, "{ours}, baseline {baseline}");
     }
 }
 
-// Without a quarantine the same request takes down one engine after the other.
+// Without the quarantine the same request crashes one engine after the other.
 #[test]
-fn a_poisonous_request_takes_down_two_engines() {
-    let plan = scenario::poison(Scale(1.0));
-    let ours = pool::run(&plan, &Setup::all());
+fn a_poison_request_crashes_only_two_engines() {
+    let scenario = scenario::poison(Scale(1.0));
+    let ours = pool::run(&scenario, &Setup::all());
     assert_eq!(ours.crashes, 2);
-    assert!(ours.classes["short"].hit_rate() > 0.99);
-    let open = Setup { quarantine: false, ..Setup::all() };
-    assert!(pool::run(&plan, &open).crashes > 10);
+    assert!(ours.classes["short"].in_time_rate() > 0.99);
+    let unprotected = Setup { quarantine: false, ..Setup::all() };
+    assert!(pool::run(&scenario, &unprotected).crashes > 10);
 }
 
 #[test]
 fn retries_after_lost_domains_stay_under_a_tenth() {
-    let figures = pool::run(&scenario::retry_storm(Scale(1.0)), &Setup::all());
-    assert!(figures.retries * 10 < figures.attempts, "{} retries", figures.retries);
-    assert!(figures.classes["short"].hit_rate() > 0.99);
+    let results = pool::run(&scenario::retry_storm(Scale(1.0)), &Setup::all());
+    assert!(results.retries * 10 < results.attempts, "{} retries", results.retries);
+    assert!(results.classes["short"].in_time_rate() > 0.99);
 }
 
-fn shipped(text: &str) -> Settings {
-    let resources = conf::Resource::parse_all(text).expect("it is valid YAML");
-    let conf::Spec::Policy(policy) = resources[0].check().expect("it passes") else {
-        panic!("no policy")
+fn settings_of(text: &str) -> Settings {
+    let resources = conf::Resource::parse_all(text).expect("a shipped policy is valid YAML");
+    let conf::Spec::Policy(policy) =
+        resources[0].check().expect("a shipped policy passes the check")
+    else {
+        panic!("the first resource is not a policy")
     };
     assert_ne!(policy, Policy::default());
     Settings::from(&policy)
 }
 
-// The share of reading moves from 0.2 to 0.7 of the work and back within five minutes.
+// The share of prefill in the work rises from 0.2 to 0.7 and falls back within five minutes.
 #[test]
-fn the_swing_is_followed_with_few_changes() {
-    for (text, most_changes) in [
+fn roles_follow_the_swing_with_few_changes() {
+    for (text, max_changes) in [
         (include_str!("../policies/sredets.yaml"), 2 * ENGINES as u64),
         (include_str!("../policies/relieve.yaml"), 2 * ENGINES as u64),
     ] {
         for efficiency in [0.85, 0.6] {
-            let fleet = swing::Pool { engines: ENGINES, domains: 3, efficiency };
-            let outcome = swing::run(Scale(1.0), &fleet, shipped(text));
-            assert!(outcome.goodput() > 0.9 * swing::bound(Scale(1.0), &fleet).goodput());
-            assert!(outcome.role_changes <= most_changes, "{}", outcome.role_changes);
+            let pool = swing::Pool { engines: ENGINES, domains: 3, efficiency };
+            let results = swing::run(Scale(1.0), &pool, settings_of(text));
+            assert!(results.goodput() > 0.9 * swing::bound(Scale(1.0), &pool).goodput());
+            assert!(results.role_changes <= max_changes, "{}", results.role_changes);
         }
     }
 }
 
-// Lengths are unknown, and a request waits behind a long answer while its other candidate is idle.
+// Output lengths are unknown: bound on arrival, a request waits behind a long one while its other
+// candidate is idle.
 #[test]
 fn late_binding_shortens_the_tail() {
     let setup = late_binding::Setup { requests: 20_000, ..late_binding::Setup::default() };
-    let p99 = |way: &dyn Binding| late_binding::measure(&setup, way).wait[1];
+    let p99 = |strategy: &dyn Binding| late_binding::measure(&setup, strategy).wait[1];
     let (eager, stealing, lazy) = (p99(&ShortestQueue), p99(&Stealing), p99(&LazyQueue));
     assert!(lazy < stealing && stealing < eager, "{lazy} {stealing} {eager}");
 }
