--- a/crates/policy/src/simulation/disaggregated.rs
+++ b/crates/policy/src/simulation/disaggregated.rs
@@ -1,15 +1,15 @@
-//! A model of engines that read prompts for others that write, for [`crate::prefill`],
-//! [`crate::decode`], [`crate::retry_detection`] and [`crate::split`].
+//! A simulation of disaggregated prefill and decode, for [`crate::prefill`], [`crate::decode`],
+//! [`crate::retry_detection`] and [`crate::split`].
 //!
-//! Engines are modelled step by step: an engine that reads takes prompts one after another, by
-//! urgency, and reads what it does not keep; KV cache goes through both ends' links, on which
-//! transfers run one after another; an engine that writes makes one token of every stream a step, in
-//! a bounded number of slots, and more urgent streams put back the newest of the least urgent.
-//! Memory keeps parts of prompts until others, used later, need the room. Entries know their own
-//! work at once and the others' when they last heard of it.
+//! Engines are modelled step by step. A prefill engine processes prompts one after another, by
+//! priority, without the parts that it has cached. KV cache is transferred over the engines' links,
+//! on which transfers run one after another. A decode engine generates one token of every stream in
+//! each step, in a bounded number of slots, and more urgent streams preempt the newest of the least
+//! urgent ones. Parts of prompts stay cached until more recently used ones need the memory. An
+//! entry knows its own work immediately, and that of the others as of the last update.
 //!
-//! Left out: engines that write and read, pauses of streams while an engine reads, orders,
-//! failures, the entries' own time, and wrong beliefs about what engines keep.
+//! Not modelled: engines that prefill and decode, gaps in streams while an engine prefills, orders,
+//! failures, processing time of the entries, and outdated knowledge of the engines' caches.
 
 mod compare;
 mod engine;
@@ -17,53 +17,54 @@
 mod traffic;
 
 pub use compare::{compare, compare_coordination};
-pub use engine::Figures;
+pub use engine::EngineParameters;
 pub use fleet::{Options, run};
 pub use traffic::{Class, Traffic, swinging};
 
 use crate::number::float;
 
-/// How the requests of one class ended.
+/// Counts of the requests of one class, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Ended {
-    /// All of them.
-    pub asked: u64,
-    /// Answered within their objective, and for streams without a pause that is too long.
+pub struct OutcomeCounts {
+    /// All requests.
+    pub requests: u64,
+    /// Requests whose first token met the objective, and whose stream had no gap that is too long.
     pub in_time: u64,
-    /// Answered later.
+    /// Other requests whose first token met the deadline.
     pub late: u64,
-    /// Refused for good.
+    /// Requests that were refused again on their retry, or missed the deadline.
     pub refused: u64,
 }
 
-/// What a run came to.
+/// The results of a simulation.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Outcome {
+pub struct Results {
     /// Long prompts with little output.
-    pub long: Ended,
+    pub long: OutcomeCounts,
     /// Short prompts with long output.
-    pub short: Ended,
-    /// Tokens of shared parts that were read although some engine kept them or had kept them.
-    pub read_again: u64,
-    /// Streams that were put back.
-    pub put_back: u64,
-    /// Long prompts in time if no shared part were read twice and engines never waited for news.
+    pub short: OutcomeCounts,
+    /// Tokens of shared parts that were prefilled although an engine had prefilled them before.
+    pub recomputed_tokens: u64,
+    /// How often a stream was preempted.
+    pub preempted: u64,
+    /// An upper bound for long prompts in time: no shared part is prefilled twice, and engines
+    /// never idle because entries lack an update.
     pub bound: u64,
 }
 
-/// What a late answer is worth, against one in time.
-const LATE: f64 = 0.3;
+/// The utility of a late response, relative to one in time.
+const LATE_UTILITY: f64 = 0.3;
 
-impl Ended {
-    /// What was earned, of 1.
-    pub fn worth(&self) -> f64 {
-        (float(self.in_time) + LATE * float(self.late)) / float(self.asked.max(1))
+impl OutcomeCounts {
+    /// The mean utility of a request, from 0 to 1.
+    pub fn utility(&self) -> f64 {
+        (float(self.in_time) + LATE_UTILITY * float(self.late)) / float(self.requests.max(1))
     }
 }
 
-impl Outcome {
-    /// The share of the bound that was reached.
-    pub fn of_bound(&self) -> f64 {
+impl Results {
+    /// The number of long prompts in time, as a fraction of the bound.
+    pub fn share_of_bound(&self) -> f64 {
         float(self.long.in_time) / float(self.bound.max(1))
     }
 }
--- a/crates/policy/src/simulation/disaggregated/fleet.rs
+++ b/crates/policy/src/simulation/disaggregated/fleet.rs
@@ -1,8 +1,8 @@
-//! Engines and entries over time.
+//! The event loop of the simulation: engines and entries over time.
 
-use super::engine::{Engine, Figures, Stream, Waiting};
+use super::engine::{Engine, EngineParameters, QueuedPrompt, Stream};
 use super::traffic::{Class, Request, Traffic};
-use super::{Ended, Outcome};
+use super::{OutcomeCounts, Results};
 use crate::decode::{self, DecodeCandidate};
 use crate::demand::{DemandTracker, EngineProfile};
 use crate::number::float;
@@ -14,92 +14,94 @@
 use std::collections::{BTreeMap, HashSet};
 use std::time::Duration;
 
-/// What is chosen for a run.
+/// The options of a simulation.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How prompts are placed.
-    pub prompts: prefill::Settings,
-    /// How engines are split.
+    /// Settings for the placement of prefill.
+    pub prefill: prefill::Settings,
+    /// Settings for the split into prefill and decode engines.
     pub split: split::Settings,
-    /// Engines.
+    /// The number of engines.
     pub engines: usize,
-    /// Entries.
+    /// The number of entries.
     pub entries: usize,
-    /// Failure domains.
+    /// The number of failure domains.
     pub domains: u64,
-    /// Seconds between two pieces of news of the other entries.
-    pub news: f64,
-    /// Whether a prompt is booked at a coordinator of the engine, who knows all that waits there, see
-    /// [`crate::groups`].
+    /// Seconds between two updates that an entry receives from the others.
+    pub update_interval: f64,
+    /// Whether prefill is reserved at a coordinator of the engine, which knows all that is queued
+    /// there, see [`crate::groups`].
     pub coordinated: bool,
-    /// Whether writers are chosen near the reader.
-    pub near: bool,
-    /// The seed of the load.
+    /// Whether decode engines in the failure domain of the prefill engine are preferred.
+    pub prefer_same_domain: bool,
+    /// The random seed of the load.
     pub seed: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Self {
-            prompts: prefill::Settings::default(),
+            prefill: prefill::Settings::default(),
             split: split::Settings::default(),
             engines: 14,
             entries: 5,
             domains: 3,
-            news: 0.01,
+            update_interval: 0.01,
             coordinated: false,
-            near: true,
+            prefer_same_domain: true,
             seed: 7,
         }
     }
 }
 
-/// The way from a caller to an engine, in seconds.
-const WAY: f64 = 0.005;
+/// The network delay between a caller and an engine, in seconds.
+const NETWORK_DELAY: f64 = 0.005;
 
-/// The way to a coordinator and back, in seconds.
-const QUESTION: f64 = 0.002;
+/// The round trip from an entry to a coordinator, in seconds.
+const COORDINATOR_ROUND_TRIP: f64 = 0.002;
 
-/// Callers come back once.
-const RETURNS: u32 = 1;
+/// The number of times that a caller retries a refused request.
+const MAX_RETRIES: u32 = 1;
 
 #[derive(Debug)]
 enum Event {
-    Arrives(Request),
-    /// A prompt and what is copied for it are there.
-    MayRead(usize, Waiting),
-    HasRead(usize),
-    /// KV cache has arrived at a writer.
-    Arrived(usize, Stream),
-    Steps(usize),
-    News,
+    Arrive(Request),
+    /// A prompt is at its prefill engine, and so is the KV cache that was copied for it.
+    PromptReady(usize, QueuedPrompt),
+    PrefillDone(usize),
+    /// The KV cache of a stream is at its decode engine.
+    TransferDone(usize, Stream),
+    StepDone(usize),
+    /// Entries receive the state of the others.
+    Update,
 }
 
-/// Runs a load and says how its requests ended.
-pub fn run(figures: &Figures, traffic: &Traffic, options: &Options) -> Outcome {
-    let mut fleet = Fleet::new(*figures, options);
+/// Simulates a load.
+pub fn run(parameters: &EngineParameters, traffic: &Traffic, options: &Options) -> Results {
+    let mut fleet = Fleet::new(*parameters, options);
     let requests = traffic.requests(options.seed);
-    fleet.outcome.bound = bound(figures, options, &requests);
+    fleet.results.bound = bound(parameters, options, &requests);
     for request in requests {
-        let ended = fleet.ended(request.class);
-        ended.asked += 1;
-        fleet.push(request.at + fleet.way(), Event::Arrives(request));
+        let counts = fleet.counts(request.class);
+        counts.requests += 1;
+        fleet.schedule(request.at + fleet.placement_delay(), Event::Arrive(request));
     }
-    fleet.push(0.0, Event::News);
+    fleet.schedule(0.0, Event::Update);
     while let Some(((now, _), event)) = fleet.events.pop_first() {
         fleet.now = f64::from_bits(now);
-        fleet.take(event, traffic.end);
+        fleet.handle(event, traffic.end);
     }
-    fleet.outcome
+    fleet.results
 }
 
-/// Long prompts that can be in time if engines that read never wait for news and no shared part is
-/// read twice: what is asked for in each tenth of a second beyond half of the objective is lost.
-fn bound(figures: &Figures, options: &Options, requests: &[Request]) -> u64 {
+/// An upper bound for long prompts in time, if prefill engines never wait for updates and no shared
+/// part is prefilled twice. In each tenth of a second, demand that exceeds the slice and
+/// [`prefill::max_duration`], half of the objective, is lost.
+fn bound(parameters: &EngineParameters, options: &Options, requests: &[Request]) -> u64 {
     const SLICE: f64 = 0.1;
-    let readers = readers(figures, options);
-    let rate = figures.reading * float(u64::try_from(readers).unwrap_or(0));
-    let (mut backlog, mut at, mut fit) = (0.0_f64, 0.0, 0);
+    let engines = prefill_engines(parameters, options);
+    let rate = parameters.prefill_rate * float(u64::try_from(engines).unwrap_or(0));
+    let (mut backlog, mut at, mut in_time) = (0.0_f64, 0.0, 0);
     for request in requests.iter().filter(|request| request.class == Class::Long) {
         while request.at > at + SLICE {
             at += SLICE;
@@ -108,263 +110,285 @@
         if backlog + float(request.own)
             <= rate
                 * (SLICE
-                    + prefill::max_duration(&options.prompts, &request.prompt(false)).as_secs_f64())
+                    + prefill::max_duration(&options.prefill, &request.prompt(false)).as_secs_f64())
         {
             backlog += float(request.own);
-            fit += 1;
+            in_time += 1;
         }
     }
-    fit
+    in_time
 }
 
-/// How many engines read: the split that a load not yet seen gets.
-fn readers(figures: &Figures, options: &Options) -> usize {
-    let places = u32::try_from(figures.slots).unwrap_or(u32::MAX);
-    let pace = EngineProfile {
-        prefill_rate: figures.reading,
-        token_time: figures.usual_step(),
-        max_streams: places,
+/// The number of prefill engines: the split for a load that has not been observed yet.
+fn prefill_engines(parameters: &EngineParameters, options: &Options) -> usize {
+    let slots = u32::try_from(parameters.slots).unwrap_or(u32::MAX);
+    let profile = EngineProfile {
+        prefill_rate: parameters.prefill_rate,
+        token_time: parameters.typical_step(),
+        max_streams: slots,
     };
-    let unseen = DemandTracker::default().peak_load(&pace);
-    let share = split::prefill_share(&options.split, &pace, &unseen);
+    let unobserved = DemandTracker::default().peak_load(&profile);
+    let share = split::prefill_share(&options.split, &profile, &unobserved);
     split::desired_prefill(&options.split, share, options.engines, 0)
 }
 
 struct Fleet {
-    figures: Figures,
+    parameters: EngineParameters,
     options: Options,
     engines: Vec<Engine>,
     keys: Vec<Hash>,
-    /// Tokens to be read by entry and engine, and streams.
-    reading: Vec<Vec<u64>>,
+    /// Queued prefill tokens, by entry and engine.
+    queued_tokens: Vec<Vec<u64>>,
+    /// Streams, by entry and engine.
     streams: Vec<Vec<u32>>,
-    /// The same as all entries together had them when entries last heard.
-    heard: (Vec<Vec<u64>>, Vec<Vec<u32>>),
-    handed: Vec<TransferTime>,
-    taken: Vec<TransferTime>,
-    patience: RetryDetector,
-    read_before: HashSet<u32>,
+    /// Both as of the last update among entries.
+    last_update: (Vec<Vec<u64>>, Vec<Vec<u32>>),
+    /// Transfer times by source engine.
+    outgoing: Vec<TransferTime>,
+    /// Transfer times by destination engine.
+    incoming: Vec<TransferTime>,
+    retry_detector: RetryDetector,
+    /// Shared parts that have been prefilled at some engine.
+    prefilled_parts: HashSet<u32>,
+    /// Events by time, as the bits of the float, and sequence number.
     events: BTreeMap<(u64, u64), Event>,
-    order: u64,
+    sequence: u64,
     now: f64,
     random: Random,
-    outcome: Outcome,
+    results: Results,
 }
 
 impl Fleet {
-    fn new(figures: Figures, options: &Options) -> Self {
-        let readers = readers(&figures, options);
+    fn new(parameters: EngineParameters, options: &Options) -> Self {
+        let prefill = prefill_engines(&parameters, options);
         let engine =
-            |at: usize| Engine::new(at < readers, u64::try_from(at).unwrap_or(0) % options.domains);
-        let work = vec![vec![0; options.engines]; options.entries];
+            |at: usize| Engine::new(at < prefill, u64::try_from(at).unwrap_or(0) % options.domains);
+        let tokens = vec![vec![0; options.engines]; options.entries];
         let streams = vec![vec![0; options.engines]; options.entries];
         Self {
-            figures,
+            parameters,
             options: options.clone(),
             engines: (0..options.engines).map(engine).collect(),
             keys: (0..options.engines).map(|at| crate::hash(&at.to_string())).collect(),
-            heard: (work.clone(), streams.clone()),
-            reading: work,
+            last_update: (tokens.clone(), streams.clone()),
+            queued_tokens: tokens,
             streams,
-            handed: vec![TransferTime::default(); options.engines],
-            taken: vec![TransferTime::default(); options.engines],
-            patience: RetryDetector::default(),
-            read_before: HashSet::new(),
+            outgoing: vec![TransferTime::default(); options.engines],
+            incoming: vec![TransferTime::default(); options.engines],
+            retry_detector: RetryDetector::default(),
+            prefilled_parts: HashSet::new(),
             events: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             now: 0.0,
             random: Random::new(options.seed + 1),
-            outcome: Outcome::default(),
+            results: Results::default(),
         }
     }
 
-    fn push(&mut self, at: f64, event: Event) {
-        self.order += 1;
-        // Times are not negative, so their bits order as they do.
-        self.events.insert((at.to_bits(), self.order), event);
+    fn schedule(&mut self, at: f64, event: Event) {
+        self.sequence += 1;
+        // The bits of floats that are not negative have the order of the floats.
+        self.events.insert((at.to_bits(), self.sequence), event);
     }
 
-    /// The way from a caller to the decision where a prompt goes, in seconds.
-    fn way(&self) -> f64 {
-        if self.options.coordinated { WAY + QUESTION } else { WAY }
+    /// The delay until a request of a caller can be placed, in seconds.
+    fn placement_delay(&self) -> f64 {
+        if self.options.coordinated {
+            NETWORK_DELAY + COORDINATOR_ROUND_TRIP
+        } else {
+            NETWORK_DELAY
+        }
     }
 
     fn time(&self) -> Time {
         Time::from_secs_f64(self.now)
     }
 
-    fn ended(&mut self, class: Class) -> &mut Ended {
+    fn counts(&mut self, class: Class) -> &mut OutcomeCounts {
         match class {
-            Class::Long => &mut self.outcome.long,
-            Class::Short => &mut self.outcome.short,
+            Class::Long => &mut self.results.long,
+            Class::Short => &mut self.results.short,
         }
     }
 
-    fn take(&mut self, event: Event, end: f64) {
+    fn handle(&mut self, event: Event, end: f64) {
         match event {
-            Event::Arrives(request) => self.place(request),
-            Event::MayRead(at, waiting) => {
-                self.engines[at].queue.push(waiting);
-                self.begin_reading(at);
+            Event::Arrive(request) => self.place_prefill(request),
+            Event::PromptReady(at, prompt) => {
+                self.engines[at].queue.push(prompt);
+                self.begin_prefill(at);
             }
-            Event::HasRead(at) => self.has_read(at),
-            Event::Arrived(at, stream) => {
-                let memory = self.figures.memory;
-                self.engines[at].keep(&stream.request, memory);
+            Event::PrefillDone(at) => self.finish_prefill(at),
+            Event::TransferDone(at, stream) => {
+                let memory = self.parameters.memory;
+                self.engines[at].cache(&stream.request, memory);
                 self.engines[at].waiting.push(stream);
                 self.begin_step(at);
             }
-            Event::Steps(at) => self.step(at),
-            Event::News => {
-                self.heard = (self.reading.clone(), self.streams.clone());
+            Event::StepDone(at) => self.finish_step(at),
+            Event::Update => {
+                self.last_update = (self.queued_tokens.clone(), self.streams.clone());
                 if self.now < end {
-                    self.push(self.now + self.options.news, Event::News);
+                    self.schedule(self.now + self.options.update_interval, Event::Update);
                 }
             }
         }
     }
 
-    /// Tokens to be read and streams at an engine, as an entry knows them.
-    fn known(&self, entry: usize, at: usize) -> (u64, u32) {
+    /// Queued prefill tokens and streams at an engine, as far as an entry knows them.
+    fn known_load(&self, entry: usize, at: usize) -> (u64, u32) {
         let others = (0..self.options.entries).filter(|other| *other != entry);
-        let told = if self.options.coordinated { &self.reading } else { &self.heard.0 };
-        others.fold((self.reading[entry][at], self.streams[entry][at]), |(reading, streams), e| {
-            (reading + told[e][at], streams + self.heard.1[e][at])
-        })
+        let known =
+            if self.options.coordinated { &self.queued_tokens } else { &self.last_update.0 };
+        others.fold(
+            (self.queued_tokens[entry][at], self.streams[entry][at]),
+            |(tokens, streams), e| (tokens + known[e][at], streams + self.last_update.1[e][at]),
+        )
     }
 
-    fn readers(&self, entry: usize, request: &Request) -> Vec<PrefillCandidate> {
-        let reader = |at: usize| {
+    fn prefill_candidates(&self, entry: usize, request: &Request) -> Vec<PrefillCandidate> {
+        let candidate = |at: usize| {
             let engine = &self.engines[at];
-            let (waiting, streams) = self.known(entry, at);
+            let (tokens, streams) = self.known_load(entry, at);
             PrefillCandidate {
                 key: self.keys[at],
-                decodes: !engine.reads,
-                queued_tokens: waiting,
-                cached_tokens: engine.kept(request),
-                // Engines that write don't read in this model.
-                slot_usage: if engine.reads { f64::from(streams) } else { 1.0 },
-                transfer_excess: self.handed[at].excess(self.time()),
+                decodes: !engine.is_prefill,
+                queued_tokens: tokens,
+                cached_tokens: engine.cached_tokens(request),
+                // Decode engines do not prefill in this simulation.
+                slot_usage: if engine.is_prefill { f64::from(streams) } else { 1.0 },
+                transfer_excess: self.outgoing[at].excess(self.time()),
                 domain: engine.domain,
             }
         };
-        (0..self.engines.len()).map(reader).collect()
+        (0..self.engines.len()).map(candidate).collect()
     }
 
-    fn place(&mut self, request: Request) {
+    fn place_prefill(&mut self, request: Request) {
         let entry = self.random.below(self.options.entries);
         let left =
-            Duration::from_secs_f64((request.first_asked + request.deadline - self.now).max(0.0));
+            Duration::from_secs_f64((request.first_sent + request.deadline - self.now).max(0.0));
         let objective = Duration::from_secs_f64(request.objective);
-        let late = request.class == Class::Long && self.patience.is_retry(left, objective);
-        let readers = self.readers(entry, &request);
-        match prefill::place(&self.options.prompts, &request.prompt(late), &readers, 1) {
+        let late = request.class == Class::Long && self.retry_detector.is_retry(left, objective);
+        let candidates = self.prefill_candidates(entry, &request);
+        match prefill::place(&self.options.prefill, &request.prompt(late), &candidates, 1) {
             Placement::Full(soonest) => self.refuse(request, soonest, left),
             Placement::Prefill { at, copy_from, tokens } => {
-                self.reading[entry][at] += tokens;
-                self.order += 1;
-                let rank = u8::from(request.class == Class::Short);
-                let urgency = prefill::priority(&self.options.prompts, tokens, rank);
-                let order = self.order;
-                let (copied, ready) = self.copy(copy_from, at, &request);
-                let waiting = Waiting { request, entry, tokens, copied, urgency, order };
-                self.push(ready, Event::MayRead(at, waiting));
+                self.queued_tokens[entry][at] += tokens;
+                self.sequence += 1;
+                let class_priority = u8::from(request.class == Class::Short);
+                let priority = prefill::priority(&self.options.prefill, tokens, class_priority);
+                let sequence = self.sequence;
+                let (copied, ready) = self.copy_prefix(copy_from, at, &request);
+                let prompt = QueuedPrompt { request, entry, tokens, copied, priority, sequence };
+                self.schedule(ready, Event::PromptReady(at, prompt));
             }
         }
     }
 
     fn refuse(&mut self, mut request: Request, soonest: Duration, left: Duration) {
-        if request.refused >= RETURNS {
-            self.ended(request.class).refused += 1;
+        if request.refused >= MAX_RETRIES {
+            self.counts(request.class).refused += 1;
             return;
         }
         request.refused += 1;
         let random = self.random.unit();
-        let back = prefill::retry_after(&self.options.prompts, soonest, left, random);
-        let way = WAY + self.way();
-        self.push(self.now + back.as_secs_f64() + way, Event::Arrives(request));
+        let retry_after = prefill::retry_after(&self.options.prefill, soonest, left, random);
+        let delay = NETWORK_DELAY + self.placement_delay();
+        self.schedule(self.now + retry_after.as_secs_f64() + delay, Event::Arrive(request));
     }
 
-    /// Copies a prompt's start from another engine while the reader reads others; returns the tokens
-    /// and when they are there.
-    fn copy(&mut self, from: Option<usize>, to: usize, request: &Request) -> (u64, f64) {
+    /// Copies the cached prefix of a prompt from another engine, while the prefill engine processes
+    /// other prompts. Returns the tokens of the prefix, and the time at which the prompt is ready.
+    fn copy_prefix(&mut self, from: Option<usize>, to: usize, request: &Request) -> (u64, f64) {
         let Some(from) = from else { return (0, self.now) };
-        let kept = self.engines[to].kept(request);
-        let copied = self.engines[from].kept(request);
-        if copied <= kept {
+        let cached = self.engines[to].cached_tokens(request);
+        let copied = self.engines[from].cached_tokens(request);
+        if copied <= cached {
             return (0, self.now);
         }
-        (copied, self.transfer(from, to, copied - kept))
+        (copied, self.transfer(from, to, copied - cached))
     }
 
-    fn begin_reading(&mut self, at: usize) {
+    fn begin_prefill(&mut self, at: usize) {
         let engine = &mut self.engines[at];
-        if engine.reading.is_some() || engine.queue.is_empty() {
+        if engine.current.is_some() || engine.queue.is_empty() {
             return;
         }
         let next = (0..engine.queue.len())
-            .min_by_key(|&at| (engine.queue[at].urgency, engine.queue[at].order));
+            .min_by_key(|&at| (engine.queue[at].priority, engine.queue[at].sequence));
         let Some(next) = next else { return };
-        let waiting = engine.queue.remove(next);
-        let kept = engine.kept(&waiting.request);
-        let copied = waiting.copied;
-        let tokens = waiting.request.tokens() - kept.max(copied);
-        let mut known = kept.max(copied);
-        for (id, size) in &waiting.request.shared {
-            if known < *size && !self.read_before.insert(*id) {
-                self.outcome.read_again += size;
+        let prompt = engine.queue.remove(next);
+        let cached = engine.cached_tokens(&prompt.request);
+        let copied = prompt.copied;
+        let tokens = prompt.request.tokens() - cached.max(copied);
+        let mut available = cached.max(copied);
+        for (id, size) in &prompt.request.shared {
+            if available < *size && !self.prefilled_parts.insert(*id) {
+                self.results.recomputed_tokens += size;
             }
-            known = known.saturating_sub(*size);
+            available = available.saturating_sub(*size);
         }
-        let length = float(tokens) * float(waiting.request.tokens()) / 1e6;
-        let took = float(tokens) / self.figures.reading + length * self.figures.pairs;
-        self.engines[at].reading = Some(waiting);
-        self.push(self.now + took, Event::HasRead(at));
+        let pairs = float(tokens) * float(prompt.request.tokens()) / 1e6;
+        let duration =
+            float(tokens) / self.parameters.prefill_rate + pairs * self.parameters.pair_time;
+        self.engines[at].current = Some(prompt);
+        self.schedule(self.now + duration, Event::PrefillDone(at));
     }
 
-    /// Takes KV cache from one engine to another, and returns when it has arrived.
+    /// Transfers KV cache between two engines; returns the time at which it has arrived. Between
+    /// failure domains a link has half of the bandwidth.
     fn transfer(&mut self, from: usize, to: usize, tokens: u64) -> f64 {
-        let far = if self.engines[from].domain == self.engines[to].domain { 1.0 } else { 2.0 };
-        let begins = self.now.max(self.engines[to].link_free);
-        let ends = begins + float(tokens) / self.figures.link * far;
-        self.engines[to].link_free = ends;
-        ends + self.figures.set_up
+        let slowdown = if self.engines[from].domain == self.engines[to].domain { 1.0 } else { 2.0 };
+        let begins = self.now.max(self.engines[to].link_free_at);
+        let ends = begins + float(tokens) / self.parameters.link * slowdown;
+        self.engines[to].link_free_at = ends;
+        ends + self.parameters.transfer_setup
     }
 
-    fn has_read(&mut self, at: usize) {
-        let Some(Waiting { request, entry, tokens, .. }) = self.engines[at].reading.take() else {
+    fn finish_prefill(&mut self, at: usize) {
+        let Some(QueuedPrompt { request, entry, tokens, .. }) = self.engines[at].current.take()
+        else {
             return;
         };
-        self.reading[entry][at] -= tokens;
-        let memory = self.figures.memory;
-        self.engines[at].keep(&request, memory);
-        let to = self.writer(entry, at, &request);
+        self.queued_tokens[entry][at] -= tokens;
+        let memory = self.parameters.memory;
+        self.engines[at].cache(&request, memory);
+        let to = self.choose_decode_engine(entry, at, &request);
         self.streams[entry][to] += 1;
-        let arrives = self.transfer(at, to, request.tokens()) + WAY;
-        let took = Duration::from_secs_f64(arrives - self.now);
+        let arrives = self.transfer(at, to, request.tokens()) + NETWORK_DELAY;
+        let duration = Duration::from_secs_f64(arrives - self.now);
         let now = self.time();
-        self.handed[at].sample(took, now);
-        self.taken[to].sample(took, now);
+        self.outgoing[at].sample(duration, now);
+        self.incoming[to].sample(duration, now);
         let last_event = arrives;
-        let stream = Stream { request, written: 0, first: None, last_event, paused: false, entry };
-        self.push(arrives, Event::Arrived(to, stream));
-        self.begin_reading(at);
+        let stream = Stream {
+            request,
+            generated: 0,
+            first_token: None,
+            last_event,
+            gap_exceeded: false,
+            entry,
+        };
+        self.schedule(arrives, Event::TransferDone(to, stream));
+        self.begin_prefill(at);
     }
 
-    fn writer(&mut self, entry: usize, from: usize, request: &Request) -> usize {
+    fn choose_decode_engine(&mut self, entry: usize, from: usize, request: &Request) -> usize {
         let objective = Duration::from_secs_f64(request.objective);
-        let slots = u32::try_from(self.figures.slots).unwrap_or(u32::MAX);
-        let able: Vec<_> = (0..self.engines.len()).filter(|&at| !self.engines[at].reads).collect();
-        let ranked = able.into_iter().map(|at| {
-            let writer = DecodeCandidate {
-                transfer_excess: self.taken[at].excess(self.time()),
-                streams: self.known(entry, at).1,
+        let slots = u32::try_from(self.parameters.slots).unwrap_or(u32::MAX);
+        let decode_engines: Vec<_> =
+            (0..self.engines.len()).filter(|&at| !self.engines[at].is_prefill).collect();
+        let ranked = decode_engines.into_iter().map(|at| {
+            let candidate = DecodeCandidate {
+                transfer_excess: self.incoming[at].excess(self.time()),
+                streams: self.known_load(entry, at).1,
                 slots,
-                same_domain: !self.options.near
+                same_domain: !self.options.prefer_same_domain
                     || self.engines[at].domain == self.engines[from].domain,
                 ..DecodeCandidate::default()
             };
-            (decode::rank(&writer, objective), at)
+            (decode::rank(&candidate, objective), at)
         });
         let ranked: Vec<_> = ranked.collect();
         let best = ranked.iter().map(|(rank, _)| *rank).min();
@@ -377,31 +401,33 @@
         if engine.stepping {
             return;
         }
-        let put_back = engine.admit(self.figures.slots);
+        let preempted = engine.fill_slots(self.parameters.slots);
         if engine.running.is_empty() {
             return;
         }
         engine.stepping = true;
-        let ends = self.now + engine.step(&self.figures);
-        self.outcome.put_back += put_back;
-        self.push(ends, Event::Steps(at));
+        let ends = self.now + engine.step_time(&self.parameters);
+        self.results.preempted += preempted;
+        self.schedule(ends, Event::StepDone(at));
     }
 
-    fn step(&mut self, at: usize) {
-        let (now, figures) = (self.now, self.figures);
+    fn finish_step(&mut self, at: usize) {
+        let (now, parameters) = (self.now, self.parameters);
         let engine = &mut self.engines[at];
         engine.stepping = false;
         for stream in &mut engine.running {
-            stream.written += 1;
-            let begins = stream.first.is_none();
-            stream.first.get_or_insert(now);
-            if stream.written % figures.stride == 0 || stream.written == stream.request.output {
-                stream.paused |= !begins && now - stream.last_event > figures.pause;
+            stream.generated += 1;
+            let is_first = stream.first_token.is_none();
+            stream.first_token.get_or_insert(now);
+            if stream.generated % parameters.stride == 0
+                || stream.generated == stream.request.output
+            {
+                stream.gap_exceeded |= !is_first && now - stream.last_event > parameters.max_gap;
                 stream.last_event = now;
             }
         }
         let (ended, running): (Vec<_>, Vec<_>) =
-            engine.running.drain(..).partition(|s| s.written >= s.request.output);
+            engine.running.drain(..).partition(|s| s.generated >= s.request.output);
         engine.running = running;
         for stream in ended {
             self.streams[stream.entry][at] -= 1;
@@ -412,14 +438,15 @@
 
     fn finish(&mut self, stream: &Stream) {
         let request = &stream.request;
-        let first = stream.first.unwrap_or(self.now) + WAY - request.first_asked;
-        let ended = self.ended(request.class);
-        if first <= request.objective && !stream.paused {
-            ended.in_time += 1;
-        } else if first <= request.deadline {
-            ended.late += 1;
+        let first_token =
+            stream.first_token.unwrap_or(self.now) + NETWORK_DELAY - request.first_sent;
+        let counts = self.counts(request.class);
+        if first_token <= request.objective && !stream.gap_exceeded {
+            counts.in_time += 1;
+        } else if first_token <= request.deadline {
+            counts.late += 1;
         } else {
-            ended.refused += 1;
+            counts.refused += 1;
         }
     }
 }
--- a/crates/policy/src/simulation/disaggregated/traffic.rs
+++ b/crates/policy/src/simulation/disaggregated/traffic.rs
@@ -1,10 +1,10 @@
-//! What callers ask for: long prompts that share parts, and short ones with long output, in swings.
+//! The load: long prompts that share parts and short prompts with long output, at changing rates.
 
 use crate::prefill::Prompt;
 use crate::simulation::Random;
 use std::time::Duration;
 
-/// The kind of a request.
+/// The class of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     /// A long prompt with little output.
@@ -13,7 +13,7 @@
     Short,
 }
 
-/// The id of a shared part.
+/// The id of a part that prompts share.
 pub(super) type PartId = u32;
 
 /// A request.
@@ -21,29 +21,29 @@
 pub(super) struct Request {
     pub at: f64,
     pub class: Class,
-    /// Shared parts with their tokens, in order.
+    /// Parts that other prompts share, with their tokens, in order.
     pub shared: Vec<(PartId, u64)>,
-    /// Tokens of its own.
+    /// Tokens of the part that no other prompt shares.
     pub own: u64,
-    /// Tokens of output.
+    /// Output tokens.
     pub output: u64,
-    /// Seconds until its first token is due.
+    /// The objective for the time to first token, in seconds.
     pub objective: f64,
-    /// Seconds that its caller waits.
+    /// How long the caller waits for the first token, in seconds.
     pub deadline: f64,
     /// How often it has been refused.
     pub refused: u32,
-    /// When its caller first asked.
-    pub first_asked: f64,
+    /// The time of the caller's first attempt.
+    pub first_sent: f64,
 }
 
 impl Request {
-    /// All tokens of the prompt.
+    /// The number of tokens of the prompt.
     pub fn tokens(&self) -> u64 {
         self.shared.iter().map(|(_, tokens)| tokens).sum::<u64>() + self.own
     }
 
-    /// The prompt as the decision sees it.
+    /// The prompt in the form that decisions use.
     pub fn prompt(&self, late: bool) -> Prompt {
         let start = self.shared.iter().fold(0, |hash, (id, _)| crate::mix(hash, (*id).into()));
         let objective = Duration::from_secs_f64(self.objective);
@@ -51,24 +51,26 @@
     }
 }
 
-/// The load.
+/// The rates of both classes over time.
 #[derive(Debug, Clone)]
 pub struct Traffic {
-    /// Long prompts a second.
+    /// Long prompts per second.
     pub long: f64,
-    /// Short prompts a second.
+    /// Short prompts per second.
     pub short: f64,
-    /// From which second on rates are this many times as high: long, short.
+    /// Changes of the rates: the second from which they hold, and the factors for long and for
+    /// short prompts.
     pub swings: Vec<(f64, f64, f64)>,
-    /// How many documents long prompts share.
+    /// The number of documents that long prompts share.
     pub documents: usize,
-    /// The end in seconds.
+    /// The duration, in seconds.
     pub end: f64,
 }
 
-/// A load that swings twice over: phases of 14 s for streams and then for prompts, with waves of
-/// 2.8 s within, and five seconds of twice as many prompts as the second phase begins. Rates are
-/// those of the larger of today's users on an ordinary day, per engine, for 14 engines.
+/// A load that swings at two time scales: a phase of 14 s with more short and fewer long prompts
+/// and one with the reverse, both with waves of 2.8 s; and twice as many long prompts in the first
+/// five seconds of the second phase. The rates per engine are those of the larger of today's users
+/// on an ordinary day, for 14 engines.
 pub fn swinging() -> Traffic {
     let mut swings = Vec::new();
     let mut at = 0.0_f64;
@@ -93,23 +95,23 @@
     Traffic { long: 179.0, short: 12.8, swings, documents: 675, end: 34.0 }
 }
 
-/// Head parts that all long prompts begin with.
-const HEADS: usize = 4;
+/// The number of system prompts; each long prompt begins with one of them.
+const SYSTEM_PROMPTS: usize = 4;
 
-/// The first id of documents, and that of the parts that short prompts share.
-const DOCUMENTS: u32 = 1_000;
-const SMALL_PARTS: u32 = 900;
+/// The id of the first document, and of the part that all short prompts share.
+const FIRST_DOCUMENT: u32 = 1_000;
+const SHORT_PROMPT_PREFIX: u32 = 900;
 
 impl Traffic {
-    /// This load for `engines` engines, if it is one for `of` engines.
-    pub fn times(self, engines: usize, of: usize) -> Self {
+    /// Scales a load for `base` engines to `engines` engines.
+    pub fn scale_to(self, engines: usize, base: usize) -> Self {
         let number = |count: usize| f64::from(u32::try_from(count).unwrap_or(u32::MAX));
-        let factor = number(engines) / number(of.max(1));
-        let documents = self.documents * engines / of.max(1);
+        let factor = number(engines) / number(base.max(1));
+        let documents = self.documents * engines / base.max(1);
         Self { long: self.long * factor, short: self.short * factor, documents, ..self }
     }
 
-    /// All requests by time.
+    /// Generates all requests, in order of time.
     pub(super) fn requests(&self, seed: u64) -> Vec<Request> {
         let mut random = Random::new(seed);
         let documents = self.document_sizes(&mut random);
@@ -145,21 +147,21 @@
 fn request(class: Class, at: f64, documents: &[u64], random: &mut Random) -> Request {
     let (shared, own, output, objective, deadline) = match class {
         Class::Long => {
-            let head = u32::try_from(random.below(HEADS)).unwrap_or(0);
+            let system_prompt = u32::try_from(random.below(SYSTEM_PROMPTS)).unwrap_or(0);
             let document = random.below(documents.len());
-            let id = DOCUMENTS + u32::try_from(document).unwrap_or(0);
-            let shared = vec![(head, 2_520), (id, documents[document])];
+            let id = FIRST_DOCUMENT + u32::try_from(document).unwrap_or(0);
+            let shared = vec![(system_prompt, 2_520), (id, documents[document])];
             (shared, tokens(random, 2_890.0, 1.0), tokens(random, 76.0, 0.5), 0.15, 2.0)
         }
         Class::Short => (
-            vec![(SMALL_PARTS, 79)],
+            vec![(SHORT_PROMPT_PREFIX, 79)],
             tokens(random, 141.0, 0.8),
             tokens(random, 4_540.0, 0.6),
             0.12,
             15.0,
         ),
     };
-    Request { at, class, shared, own, output, objective, deadline, refused: 0, first_asked: at }
+    Request { at, class, shared, own, output, objective, deadline, refused: 0, first_sent: at }
 }
 
 fn tokens(random: &mut Random, mean: f64, sigma: f64) -> u64 {
--- a/crates/policy/src/simulation/pool/serve.rs
+++ b/crates/policy/src/simulation/pool/serve.rs
@@ -153,9 +153,9 @@
         self.admission.decide(&Request { cost, deadline }, &state, self.time()).map(|_| ())
     }
 
-    /// The work ahead of a call at an engine, and the rates at which it is done. At a prefill engine
-    /// the output of its prompts counts as well, at its share of the pool's decode rate: prompts
-    /// are held back until their output finds a slot.
+    /// The work ahead of a call at an engine, and the rates at which it is done. At a prefill
+    /// engine the output of its prompts counts as well, at its share of the pool's decode rate:
+    /// prompts are held back until their output finds a slot.
     fn target_state(&self, call: CallIndex, index: usize) -> TargetState {
         let arrival = &self.scenario.arrivals[call];
         let engine = &self.engines[index];
--- a/crates/policy/src/simulation/workload.rs
+++ b/crates/policy/src/simulation/workload.rs
@@ -98,8 +98,8 @@
         steps.clone().find(|(from, _)| *from <= at).map_or(0.0, |(_, rate)| *rate)
     }
 
-    /// Generates Poisson arrivals by thinning: draws them at the highest rate, and keeps the fraction
-    /// that the rate at the time requires.
+    /// Generates Poisson arrivals by thinning: draws them at the highest rate, and keeps the
+    /// fraction that the rate at the time requires.
     fn generate(&self, entries: usize, end: f64, random: &mut Random, all: &mut Vec<Arrival>) {
         let highest = self.rate.iter().map(|(_, rate)| *rate).fold(0.0, f64::max);
         if highest <= 0.0 {
