--- a/crates/policy/src/simulation/disaggregated/fleet.rs
+++ b/crates/policy/src/simulation/disaggregated/fleet.rs
@@ -238,11 +238,11 @@
     /// Queued prefill tokens and streams at an engine, as far as an entry knows them.
     fn known_load(&self, entry: usize, at: usize) -> (u64, u32) {
         let others = (0..self.options.entries).filter(|other| *other != entry);
-        let known =
+        let queued =
             if self.options.coordinated { &self.queued_tokens } else { &self.last_update.0 };
         others.fold(
             (self.queued_tokens[entry][at], self.streams[entry][at]),
-            |(tokens, streams), e| (tokens + known[e][at], streams + self.last_update.1[e][at]),
+            |(tokens, streams), e| (tokens + queued[e][at], streams + self.last_update.1[e][at]),
         )
     }
 
--- a/crates/policy/src/simulation/pool/serve.rs
+++ b/crates/policy/src/simulation/pool/serve.rs
@@ -384,10 +384,10 @@
     }
 
     /// Samples the time that a call took, relative to that of an engine with the default rates.
-    fn sample_speed(&mut self, call: CallIndex, engine: usize, whole: bool) {
+    fn sample_speed(&mut self, call: CallIndex, engine: usize, completed: bool) {
         let arrival = &self.scenario.arrivals[call];
         let rates = crate::estimate::Rates::default();
-        let output = if whole { float(arrival.output) } else { 0.0 };
+        let output = if completed { float(arrival.output) } else { 0.0 };
         let prefill = float(arrival.prompt) / rates.prefill;
         let expected = prefill + output * f64::from(super::super::engine::SLOTS) / rates.decode;
         let relative = (self.now - self.calls[call].started) / expected.max(1e-3);
