--- a/crates/agent/src/asks.rs
+++ b/crates/agent/src/asks.rs
@@ -1,4 +1,4 @@
-//! Questions of peers outside any attempt.
+//! Replies to requests of peers that belong to no attempt.
 
 use crate::shared::Shared;
 use crate::{Backend, bootstrap};
@@ -6,16 +6,16 @@
 use std::time::Duration;
 use wire::{Ask, AskKind, Reply};
 
-/// How long the engine may take to hand out a KV cache.
-const KV_TIME: Duration = Duration::from_secs(2);
+/// How long the export of a KV cache may take.
+const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Answers a question; an empty body says that there is no answer.
+/// Returns the reply to a request. Its body is empty if the requested data does not exist.
 pub(crate) async fn answer(shared: &Shared, ask: Ask) -> Reply {
     let body = match AskKind::try_from(ask.kind) {
         Ok(AskKind::Snapshot) => bootstrap::snapshot(shared),
         Ok(AskKind::Explain) => explain(shared, &ask.body),
         Ok(AskKind::KvCache) => kv_cache(shared, &ask.body).await.unwrap_or_default(),
-        // A kind of a newer version has no answer here.
+        // A kind of a newer version, which is unknown here.
         Err(_) => Bytes::new(),
     };
     Reply { id: ask.id, body }
@@ -28,8 +28,8 @@
         return Some(cache);
     }
     let Backend::Engine(engine) = &shared.backend else { return None };
-    let exporting = engine.export_kv(&job);
-    match tokio::time::timeout(KV_TIME, exporting).await {
+    let export = engine.export_kv(&job);
+    match tokio::time::timeout(KV_TIMEOUT, export).await {
         Ok(Ok(cache)) => Some(cache),
         Ok(Err(error)) => {
             log::warn!(request = request, error:% = error; "kv-export-failed");
--- a/crates/agent/src/bootstrap.rs
+++ b/crates/agent/src/bootstrap.rs
@@ -1,6 +1,7 @@
-//! Gets the folded state from other agents while the log does not give it.
+//! Fetches state snapshots from other agents while the log is unavailable.
 //!
-//! A VM that is replaced during an outage of the log would otherwise not know its own target.
+//! Otherwise an agent on a VM that is replaced during an outage of the log would have no
+//! configuration of its own target.
 
 use crate::peer;
 use crate::shared::Shared;
@@ -12,19 +13,19 @@
 use tokio::sync::{mpsc, watch};
 use wire::AskKind;
 
-/// How long to wait for one agent.
-const ASK_TIME: Duration = Duration::from_secs(1);
+/// How long to wait for the reply of one agent.
+const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often agents are asked while the log gives nothing.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between requests to agents while the log is unavailable.
+const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state counts as current if the log showed it to be complete this recently.
-const FRESH: Duration = Duration::from_secs(10);
+/// The state counts as current if it was complete up to the end of the log this recently.
+const MAX_LOG_AGE: Duration = Duration::from_secs(10);
 
-/// What takes the states of other agents in.
+/// Passes the state of other agents to the followers of the log.
 pub(crate) struct Bootstrap {
     pub(crate) shared: Arc<Shared>,
-    /// Addresses from the settings, for an agent that knows nothing yet.
+    /// Addresses of agents from the settings, for use before any configuration is read.
     pub(crate) peers: Vec<CompactString>,
     pub(crate) health: watch::Receiver<Health>,
     pub(crate) config: mpsc::Sender<Config>,
@@ -32,38 +33,39 @@
 }
 
 impl Bootstrap {
-    /// Asks one agent after the other as long as the log does not show the state.
+    /// Requests a snapshot from one agent after the other while the state from the log is not
+    /// current.
     pub(crate) async fn run(self) {
-        for turn in 0.. {
-            tokio::time::sleep(EVERY).await;
-            if self.health.borrow().is_fresh(FRESH) {
+        for round in 0.. {
+            tokio::time::sleep(ASK_INTERVAL).await;
+            if self.health.borrow().is_fresh(MAX_LOG_AGE) {
                 continue;
             }
-            let all = self.agents();
-            if let Some(address) = all.get(turn % all.len().max(1)) {
+            let addresses = self.addresses();
+            if let Some(address) = addresses.get(round % addresses.len().max(1)) {
                 self.ask(address).await;
             }
         }
     }
 
-    fn agents(&self) -> Vec<CompactString> {
+    fn addresses(&self) -> Vec<CompactString> {
         let config = self.shared.config.borrow();
         let others = config.targets().filter(|(name, _)| **name != self.shared.target);
-        let mut all: Vec<_> = others.map(|(_, target)| target.agent.clone()).collect();
-        all.extend(self.peers.iter().cloned());
-        all.sort();
-        all.dedup();
-        all
+        let mut addresses: Vec<_> = others.map(|(_, target)| target.agent.clone()).collect();
+        addresses.extend(self.peers.iter().cloned());
+        addresses.sort();
+        addresses.dedup();
+        addresses
     }
 
     async fn ask(&self, address: &CompactString) {
-        let asking = peer::ask(&self.shared, address, AskKind::Snapshot, Bytes::new());
-        let Ok(Ok(reply)) = tokio::time::timeout(ASK_TIME, asking).await else { return };
+        let ask = peer::ask(&self.shared, address, AskKind::Snapshot, Bytes::new());
+        let Ok(Ok(reply)) = tokio::time::timeout(ASK_TIMEOUT, ask).await else { return };
         let Ok(snapshots) = Snapshots::read(address, &reply) else {
             return log::warn!(peer = address.as_str(); "state-unreadable");
         };
         if let Some(Ok(config)) = snapshots.open::<Config>(plat::CONFIG_STREAM) {
-            // A full queue holds states that are as good.
+            // If the queue is full, it already holds states from other agents.
             let _ = self.config.try_send(config);
         }
         if let Some(Ok(system)) = snapshots.open::<System>(plat::SYSTEM_STREAM) {
@@ -72,7 +74,7 @@
     }
 }
 
-/// The folded state for a peer that asks.
+/// Returns the state as a snapshot for a peer.
 pub(crate) fn snapshot(shared: &Shared) -> Bytes {
     let config = Snapshot::of(plat::CONFIG_STREAM, &**shared.config.borrow());
     let system = Snapshot::of(plat::SYSTEM_STREAM, &**shared.system.borrow());
--- a/crates/agent/src/context.rs
+++ b/crates/agent/src/context.rs
@@ -1,4 +1,4 @@
-//! What an agent sees of the world; tests put in another.
+//! The external dependencies of an agent, which tests replace.
 
 use conf::settings;
 use plat::Log;
@@ -6,7 +6,7 @@
 use target::{Engine, Service};
 use tokio_util::sync::CancellationToken;
 
-/// The target that the agent stands beside.
+/// The target that the agent serves.
 #[derive(Clone)]
 pub enum Backend {
     /// A language-model engine.
@@ -15,7 +15,7 @@
     Service(Arc<dyn Service>),
 }
 
-/// What an agent sees of the world.
+/// The external dependencies of an agent.
 pub struct Context {
     /// The settings.
     pub settings: settings::Agent,
@@ -23,9 +23,9 @@
     pub log: Arc<dyn Log>,
     /// The target.
     pub backend: Backend,
-    /// Where entries connect.
+    /// Accepts connections of entries and other agents.
     pub listener: Box<dyn wire::Listener>,
-    /// How other agents are reached.
+    /// Opens connections to other agents.
     pub dialler: Arc<dyn wire::Dialler>,
     /// Cancelled when the process is asked to stop gracefully.
     pub stop: CancellationToken,
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,6 +1,6 @@
-//! What can stop an agent.
+//! Errors that stop an agent.
 
-/// The result of running an agent.
+/// A result with the agent's error type.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// An error that stops an agent.
--- a/crates/agent/src/kv.rs
+++ b/crates/agent/src/kv.rs
@@ -1,6 +1,6 @@
 //! Fetches a KV cache from the agent of the target where a stream ran before.
 //!
-//! Every failure on this way only costs time: the engine then reads prompt and text anew.
+//! A failure only costs time, since the engine can prefill the prompt and the generated text again.
 
 use crate::peer;
 use crate::shared::Shared;
@@ -10,15 +10,16 @@
 use std::time::Duration;
 use wire::AskKind;
 
-/// How long fetching a cache may take; reading even a long prompt anew takes a few seconds.
-const FETCH_TIME: Duration = Duration::from_secs(3);
+/// How long the fetch of a cache may take. A new prefill of even a long prompt takes a few seconds.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Fetches the KV cache of `request` from the target `source`; `None` if there is none.
+/// Fetches the KV cache of `request` from the target `source`. Returns `None` if there is none or
+/// the fetch fails.
 pub(crate) async fn fetch(shared: &Shared, source: &str, request: &str) -> Option<Bytes> {
-    let address = agent_of(shared, source)?;
-    let question = Bytes::copy_from_slice(request.as_bytes());
-    let asking = peer::ask(shared, &address, AskKind::KvCache, question);
-    match tokio::time::timeout(FETCH_TIME, asking).await {
+    let address = agent_address(shared, source)?;
+    let body = Bytes::copy_from_slice(request.as_bytes());
+    let ask = peer::ask(shared, &address, AskKind::KvCache, body);
+    match tokio::time::timeout(FETCH_TIMEOUT, ask).await {
         Ok(Ok(cache)) if cache.is_empty() => None,
         Ok(Ok(cache)) => Some(cache),
         Ok(Err(error)) => {
@@ -32,7 +33,7 @@
     }
 }
 
-fn agent_of(shared: &Shared, target: &str) -> Option<CompactString> {
+fn agent_address(shared: &Shared, target: &str) -> Option<CompactString> {
     let config = shared.config.borrow();
     match &config.get(Kind::Target, target)?.spec {
         Spec::Target(target) => Some(target.agent.clone()),
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -1,11 +1,12 @@
-//! Asks another agent one question.
+//! Sends a single request to another agent.
 
 use crate::shared::Shared;
 use bytes::Bytes;
 use compact_str::CompactString;
 use wire::{Ask, AskKind, Body, Connection, Error, Frame};
 
-/// Asks over a connection of its own, since such questions are few and their answers large.
+/// Sends the request over a separate connection, since such requests are rare and their replies
+/// large.
 pub(crate) async fn ask(
     shared: &Shared,
     address: &CompactString,
--- a/crates/agent/src/refusal.rs
+++ b/crates/agent/src/refusal.rs
@@ -1,31 +1,31 @@
-//! Why an attempt is given up, and what may truthfully be said of its progress.
+//! Refusals: why an attempt has failed, and how far it can have progressed.
 
 use std::time::Duration;
 use target::Error;
 use wire::{Progress, Refusal};
 
-/// Nothing of the attempt reached the target, and nothing will.
+/// Returns the refusal of an attempt that has not reached the target and never will.
 pub(crate) fn not_run(reason: &str, detail: impl Into<String>) -> Refusal {
     refusal(reason, Progress::NotRun, detail.into())
 }
 
-/// The attempt ran, without a complete answer.
+/// Returns the refusal of an attempt that was executed without a complete answer.
 pub(crate) fn started(reason: &str, detail: impl Into<String>) -> Refusal {
     refusal(reason, Progress::Started, detail.into())
 }
 
-/// The attempt may have run.
+/// Returns the refusal of an attempt that may have been executed.
 pub(crate) fn unknown(reason: &str, detail: impl Into<String>) -> Refusal {
     refusal(reason, Progress::Unknown, detail.into())
 }
 
-/// Adds when another try is worth it.
+/// Sets when a retry is worthwhile.
 pub(crate) fn retry_after(refusal: Refusal, wait: Duration) -> Refusal {
     let retry_after_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
     Refusal { retry_after_ms, ..refusal }
 }
 
-/// What an error of the target means for the attempt that met it.
+/// Returns the refusal for an attempt that failed with an error of the target.
 pub(crate) fn from_target(error: &Error) -> Refusal {
     match error {
         Error::NotReached { .. } => not_run("target-down", error.to_string()),
