--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -1,8 +1,8 @@
-//! The answer to one request, between the job that makes it and the entries that read it.
+//! Buffers the answer to one request between the job that produces it and the entries that read it.
 //!
-//! A job writes events here and never waits for an entry's connection; each attempt reads at its
-//! own pace. So a slow caller pauses its own stream alone, and an answer whose entry was lost can
-//! be read on by another.
+//! A job writes events to the buffer instead of an entry's connection, and each attempt reads at
+//! its own pace. So a slow caller pauses only its own stream, and if the connection to an entry is
+//! lost, another entry can continue to read the answer.
 
 use compact_str::CompactString;
 use std::collections::{HashMap, VecDeque};
@@ -13,56 +13,56 @@
 use tokio_util::sync::CancellationToken;
 use wire::EventKind;
 
-/// Unread bytes after which the job waits; a second of the fastest stream is far below it.
+/// Unread bytes from which the job waits. One second of the fastest stream is far below this.
 const MAX_UNREAD_BYTES: u64 = 256 * 1024;
 
-/// Read bytes of one answer that are kept for [`Answer::attach`]: the longest answer of a
-/// 32,768-token context at 4 bytes a token fits eight times.
-const MAX_KEPT_BYTES: u64 = 1024 * 1024;
+/// Most bytes of one answer that are retained for [`Answer::attach`] after they were read: eight
+/// times the longest answer in a context of 32,768 tokens at 4 bytes per token.
+const MAX_RETAINED_BYTES: u64 = 1024 * 1024;
 
-/// How long a job waits for a reader that takes nothing, before its slot goes to others.
-const MAX_STALL: Duration = Duration::from_secs(60);
+/// How long a job waits for a stalled reader before it gives up its slot.
+const STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long an answer that lost its entry goes on, so that another entry can read on: a caller's
-/// client reconnects within seconds.
-pub(crate) const GRACE: Duration = Duration::from_secs(10);
+/// How long an answer is still generated after the connection to its entry was lost, so that
+/// another entry can continue to read it. Clients reconnect within seconds.
+pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(10);
 
 /// The answer to one request.
 pub(crate) struct Answer {
     /// The request's id.
     pub(crate) request: CompactString,
-    /// The caller, the only one who may read it.
+    /// The only caller that may read the answer.
     pub(crate) caller: CompactString,
-    /// Whether events stay after they were read.
-    keeps: bool,
+    /// Whether events are retained after they were read.
+    retains: bool,
     state: Mutex<State>,
-    /// An event was written.
-    written: Notify,
-    /// An event was read, or a reader came or went.
-    read: Notify,
-    /// Cancelled when what is unread was thrown away, because its readers took nothing.
-    given_up: CancellationToken,
+    /// Notified when an event was written.
+    event_written: Notify,
+    /// Notified when an event was read, or a reader was attached or detached.
+    readers_changed: Notify,
+    /// Cancelled when the unread events were discarded because the readers stalled.
+    discarded: CancellationToken,
 }
 
 #[derive(Default)]
 struct State {
-    events: VecDeque<Kept>,
-    /// Index of the first kept event.
-    first: u64,
-    /// Bytes of all events ever written.
-    written: u64,
-    /// Bytes of the kept events.
-    kept: u64,
+    events: VecDeque<BufferedEvent>,
+    /// Index of the first buffered event.
+    first_index: u64,
+    /// Total size of all events ever written.
+    written_bytes: u64,
+    /// Total size of the buffered events.
+    buffered_bytes: u64,
     readers: HashMap<u64, Cursor>,
     next_reader: u64,
-    /// Where the slowest of the readers that are gone stood.
-    left_at: Cursor,
-    /// Since when nobody reads, unless a reader said that it wants no more.
-    lost: Option<Instant>,
+    /// Position of the reader that was detached last.
+    last_cursor: Cursor,
+    /// When the last reader lost its connection; `None` if it cancelled.
+    lost_at: Option<Instant>,
     ended: bool,
 }
 
-struct Kept {
+struct BufferedEvent {
     kind: EventKind,
     bytes: u64,
 }
@@ -73,113 +73,114 @@
     bytes: u64,
 }
 
-/// Reads an answer; dropping it counts as a lost connection.
+/// Reads an answer. Dropping it counts as a lost connection.
 pub(crate) struct Reader {
     answer: Arc<Answer>,
     id: u64,
 }
 
-/// The reader took nothing for so long that the job must give up its slot.
+/// The slowest reader has stalled for [`STALL_TIMEOUT`], so the job must give up its slot.
 #[derive(Debug)]
 pub(crate) struct Stalled;
 
-/// The answer can't be read on from the token asked for.
+/// The requested position of the answer is not in the buffer.
 #[derive(Debug)]
-pub(crate) struct Missing;
+pub(crate) struct NotBuffered;
 
 impl Answer {
-    /// Makes an empty answer that `keeps` what was read, or not, and its first reader.
-    pub(crate) fn new(request: &str, caller: &str, keeps: bool) -> (Arc<Self>, Reader) {
+    /// Creates an empty answer and its first reader. `retains`: whether events are retained after
+    /// they were read.
+    pub(crate) fn new(request: &str, caller: &str, retains: bool) -> (Arc<Self>, Reader) {
         let answer = Arc::new(Self {
             request: request.into(),
             caller: caller.into(),
-            keeps,
+            retains,
             state: Mutex::default(),
-            written: Notify::new(),
-            read: Notify::new(),
-            given_up: CancellationToken::new(),
+            event_written: Notify::new(),
+            readers_changed: Notify::new(),
+            discarded: CancellationToken::new(),
         });
         let reader = answer.reader(Cursor::default());
         (answer, reader)
     }
 
-    /// Appends an event; waits while the slowest reader has too much unread. The last event, an
-    /// end or a refusal, never waits.
+    /// Appends an event, after waiting while the slowest reader has too much unread. The last
+    /// event, an end or a refusal, is appended without waiting.
     pub(crate) async fn push(&self, kind: EventKind) -> Result<(), Stalled> {
-        let until = Instant::now() + MAX_STALL;
+        let deadline = Instant::now() + STALL_TIMEOUT;
         loop {
-            let mut read = std::pin::pin!(self.read.notified());
-            read.as_mut().enable();
+            let mut changed = std::pin::pin!(self.readers_changed.notified());
+            changed.as_mut().enable();
             {
                 let mut state = self.lock();
-                if is_last(&kind) || state.unread() < MAX_UNREAD_BYTES {
+                if is_last(&kind) || state.unread_bytes() < MAX_UNREAD_BYTES {
                     state.append(kind);
                     drop(state);
-                    self.written.notify_waiters();
+                    self.event_written.notify_waiters();
                     return Ok(());
                 }
             }
-            tokio::time::timeout_at(until, read).await.map_err(|_| Stalled)?;
+            tokio::time::timeout_at(deadline, changed).await.map_err(|_| Stalled)?;
         }
     }
 
-    /// Throws away what is unread; the readers' next event is the one that is pushed next.
-    pub(crate) fn give_up(&self) {
+    /// Discards all buffered events. Readers continue with the event that is pushed next.
+    pub(crate) fn discard_unread(&self) {
         let mut state = self.lock();
-        state.first += u64::try_from(state.events.len()).unwrap_or(u64::MAX);
-        state.kept = 0;
+        state.first_index += u64::try_from(state.events.len()).unwrap_or(u64::MAX);
+        state.buffered_bytes = 0;
         state.events.clear();
-        let end = Cursor { index: state.first, bytes: state.written };
+        let end = Cursor { index: state.first_index, bytes: state.written_bytes };
         state.readers.values_mut().for_each(|cursor| *cursor = end);
         drop(state);
-        self.given_up.cancel();
+        self.discarded.cancel();
     }
 
-    /// A reader that goes on after the first `token` tokens.
-    pub(crate) fn attach(self: &Arc<Self>, token: u32) -> Result<Reader, Missing> {
-        let cursor = self.lock().find(token).ok_or(Missing)?;
+    /// Attaches a reader that starts after the first `token` tokens.
+    pub(crate) fn attach(self: &Arc<Self>, token: u32) -> Result<Reader, NotBuffered> {
+        let cursor = self.lock().cursor_after(token).ok_or(NotBuffered)?;
         Ok(self.reader(cursor))
     }
 
-    /// A reader that begins with the first event, if nothing is forgotten yet.
-    pub(crate) fn attach_start(self: &Arc<Self>) -> Option<Reader> {
-        let whole = self.lock().first == 0;
-        whole.then(|| self.reader(Cursor::default()))
+    /// Attaches a reader that starts with the first event, or returns `None` if that was dropped.
+    pub(crate) fn attach_at_start(self: &Arc<Self>) -> Option<Reader> {
+        let is_complete = self.lock().first_index == 0;
+        is_complete.then(|| self.reader(Cursor::default()))
     }
 
-    /// Waits until nobody reads, be it for a moment only.
-    pub(crate) async fn unread(&self) {
-        self.wait_unread(Duration::ZERO).await;
+    /// Waits until no reader is attached.
+    pub(crate) async fn detached(&self) {
+        self.wait_detached(Duration::ZERO).await;
     }
 
-    /// Waits until nobody wants the answer: its readers said so, or none came back in time.
+    /// Waits until the last reader has cancelled, or none was attached for [`GRACE_PERIOD`].
     pub(crate) async fn abandoned(&self) {
-        self.wait_unread(GRACE).await;
+        self.wait_detached(GRACE_PERIOD).await;
     }
 
-    /// Bytes held in memory.
-    pub(crate) fn bytes(&self) -> u64 {
-        self.lock().kept
+    /// Returns the size of the buffered events.
+    pub(crate) fn buffered_bytes(&self) -> u64 {
+        self.lock().buffered_bytes
     }
 
-    async fn wait_unread(&self, grace: Duration) {
+    async fn wait_detached(&self, grace: Duration) {
         loop {
-            let mut read = std::pin::pin!(self.read.notified());
-            read.as_mut().enable();
-            let lost = {
+            let mut changed = std::pin::pin!(self.readers_changed.notified());
+            changed.as_mut().enable();
+            let lost_at = {
                 let state = self.lock();
-                match (state.readers.is_empty(), state.lost) {
+                match (state.readers.is_empty(), state.lost_at) {
                     (false, _) => None,
                     (true, None) => return,
-                    (true, Some(lost)) if lost.elapsed() >= grace => return,
-                    (true, Some(lost)) => Some(lost),
+                    (true, Some(lost_at)) if lost_at.elapsed() >= grace => return,
+                    (true, Some(lost_at)) => Some(lost_at),
                 }
             };
-            match lost {
-                Some(lost) => {
-                    let _ = tokio::time::timeout_at(lost + grace, read).await;
+            match lost_at {
+                Some(lost_at) => {
+                    let _ = tokio::time::timeout_at(lost_at + grace, changed).await;
                 }
-                None => read.await,
+                None => changed.await,
             }
         }
     }
@@ -189,9 +190,9 @@
         let id = state.next_reader;
         state.next_reader += 1;
         state.readers.insert(id, cursor);
-        state.lost = None;
+        state.lost_at = None;
         drop(state);
-        self.read.notify_waiters();
+        self.readers_changed.notify_waiters();
         Reader { answer: self.clone(), id }
     }
 
@@ -202,119 +203,125 @@
 
 impl State {
     fn append(&mut self, kind: EventKind) {
-        let bytes = size_of_event(&kind);
-        self.written += bytes;
-        self.kept += bytes;
+        let bytes = event_size(&kind);
+        self.written_bytes += bytes;
+        self.buffered_bytes += bytes;
         self.ended = is_last(&kind);
-        self.events.push_back(Kept { kind, bytes });
+        self.events.push_back(BufferedEvent { kind, bytes });
     }
 
-    /// Where the slowest reader stands.
+    /// Returns the position of the slowest reader.
     fn slowest(&self) -> Cursor {
-        self.readers.values().copied().min_by_key(|cursor| cursor.index).unwrap_or(self.left_at)
+        self.readers.values().copied().min_by_key(|cursor| cursor.index).unwrap_or(self.last_cursor)
     }
 
-    fn unread(&self) -> u64 {
-        self.written - self.slowest().bytes
+    fn unread_bytes(&self) -> u64 {
+        self.written_bytes - self.slowest().bytes
     }
 
-    fn at(&self, index: u64) -> Option<&Kept> {
-        self.events.get(usize::try_from(index - self.first).ok()?)
+    fn event_at(&self, index: u64) -> Option<&BufferedEvent> {
+        self.events.get(usize::try_from(index - self.first_index).ok()?)
     }
 
-    /// The place after the first `token` tokens, if it is kept and no piece of text spans it.
-    fn find(&self, token: u32) -> Option<Cursor> {
-        let mut cursor = Cursor { index: self.first, bytes: self.written - self.kept };
-        let mut have = None;
-        for kept in &self.events {
-            match &kept.kind {
+    /// Returns the position after the first `token` tokens, if it is buffered and at the boundary
+    /// of an event.
+    fn cursor_after(&self, token: u32) -> Option<Cursor> {
+        let mut cursor =
+            Cursor { index: self.first_index, bytes: self.written_bytes - self.buffered_bytes };
+        let mut end_token = None;
+        for event in &self.events {
+            match &event.kind {
                 EventKind::Delta(delta) if delta.from_token == token => return Some(cursor),
-                EventKind::Delta(delta) => have = Some(delta.from_token + delta.tokens),
-                EventKind::End(_) | EventKind::Refusal(_) if have == Some(token) => {
+                EventKind::Delta(delta) => end_token = Some(delta.from_token + delta.tokens),
+                EventKind::End(_) | EventKind::Refusal(_) if end_token == Some(token) => {
                     return Some(cursor);
                 }
                 EventKind::End(_) | EventKind::Refusal(_) => return None,
                 EventKind::Offer(_) | EventKind::Head(_) | EventKind::Part(_) => {}
             }
-            cursor = Cursor { index: cursor.index + 1, bytes: cursor.bytes + kept.bytes };
+            cursor = Cursor { index: cursor.index + 1, bytes: cursor.bytes + event.bytes };
         }
-        let complete = self.first == 0;
-        (have == Some(token) || complete && have.is_none() && token == 0).then_some(cursor)
+        let is_complete = self.first_index == 0;
+        (end_token == Some(token) || is_complete && end_token.is_none() && token == 0)
+            .then_some(cursor)
     }
 
-    /// Forgets what no reader needs any more.
-    fn trim(&mut self, keeps: bool) {
+    /// Drops events that all readers have read; with `retains` only those beyond
+    /// [`MAX_RETAINED_BYTES`].
+    fn trim(&mut self, retains: bool) {
         let slowest = self.slowest();
-        while self.first < slowest.index && (!keeps || self.kept > MAX_KEPT_BYTES) {
-            self.kept -= self.events.pop_front().map_or(0, |kept| kept.bytes);
-            self.first += 1;
+        while self.first_index < slowest.index
+            && (!retains || self.buffered_bytes > MAX_RETAINED_BYTES)
+        {
+            self.buffered_bytes -= self.events.pop_front().map_or(0, |event| event.bytes);
+            self.first_index += 1;
         }
     }
 }
 
 impl Reader {
-    /// The next event, or `None` after the last one.
+    /// Returns the next event, or `None` after the last one.
     pub(crate) async fn next(&mut self) -> Option<EventKind> {
         loop {
-            let mut written = std::pin::pin!(self.answer.written.notified());
+            let mut written = std::pin::pin!(self.answer.event_written.notified());
             written.as_mut().enable();
-            if let Some(next) = self.step() {
+            if let Some(next) = self.try_next() {
                 return next;
             }
             written.await;
         }
     }
 
-    /// Waits until what this reader holds or has not read is of no use any more.
-    pub(crate) async fn given_up(&self) {
-        self.answer.given_up.cancelled().await;
+    /// Waits until the events that this reader has not delivered are discarded.
+    pub(crate) async fn discarded(&self) {
+        self.answer.discarded.cancelled().await;
     }
 
-    /// Reads without waiting: `None` if nothing is there yet.
-    fn step(&self) -> Option<Option<EventKind>> {
+    /// Returns the next event without waiting, or `None` if it is not written yet.
+    fn try_next(&self) -> Option<Option<EventKind>> {
         let mut state = self.answer.lock();
         let cursor = *state.readers.get(&self.id)?;
-        let Some(kept) = state.at(cursor.index) else {
+        let Some(event) = state.event_at(cursor.index) else {
             return state.ended.then_some(None);
         };
-        let kind = kept.kind.clone();
-        let next = Cursor { index: cursor.index + 1, bytes: cursor.bytes + kept.bytes };
+        let kind = event.kind.clone();
+        let next = Cursor { index: cursor.index + 1, bytes: cursor.bytes + event.bytes };
         state.readers.insert(self.id, next);
-        state.trim(self.answer.keeps);
+        state.trim(self.answer.retains);
         drop(state);
-        self.answer.read.notify_waiters();
+        self.answer.readers_changed.notify_waiters();
         Some(Some(kind))
     }
 
-    /// Ends the reading because the answer is not wanted any more.
+    /// Detaches the reader because the answer is no longer needed.
     pub(crate) fn cancel(self) {
-        self.leave(None);
+        self.detach(None);
     }
 
-    fn leave(&self, lost: Option<Instant>) {
+    fn detach(&self, lost_at: Option<Instant>) {
         let mut state = self.answer.lock();
         if let Some(cursor) = state.readers.remove(&self.id) {
-            state.left_at = cursor;
-            state.lost = lost;
+            state.last_cursor = cursor;
+            state.lost_at = lost_at;
         }
         drop(state);
-        self.answer.read.notify_waiters();
+        self.answer.readers_changed.notify_waiters();
     }
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.leave(Some(Instant::now()));
+        self.detach(Some(Instant::now()));
     }
 }
 
-/// Whether nothing follows the event.
+/// Returns whether the event is the last one of an answer.
 pub(crate) fn is_last(kind: &EventKind) -> bool {
     matches!(kind, EventKind::End(_) | EventKind::Refusal(_))
 }
 
-/// Bytes that an event takes, with a little for its frame.
-fn size_of_event(kind: &EventKind) -> u64 {
+/// Returns the approximate size of an event with its frame.
+fn event_size(kind: &EventKind) -> u64 {
     const FRAME_BYTES: usize = 32;
     let bytes = match kind {
         EventKind::Delta(delta) => delta.text.len(),
--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one connection: how they come, wait for credit, and go.
+//! The attempts of one connection: from their submission to the last event sent.
 
 use crate::answer::{Answer, Reader, is_last};
 use crate::job::{self, Job};
@@ -21,14 +21,14 @@
     tasks: Tasks,
     outbox: mpsc::Sender<Frame>,
     open: Open,
-    loads: Arc<Mutex<Option<Instant>>>,
-    /// Ends the forwarding of all attempts with the connection.
+    last_load: Arc<Mutex<Option<Instant>>>,
+    /// Cancelled with the connection, which ends the forwarding of all attempts.
     closing: CancellationToken,
-    /// Counts this process's attempts, so that each has an id of its own at the engine.
-    incarnation: u64,
+    /// Random number added to attempt ids, so that they are unique at the engine.
+    id_offset: u64,
 }
 
-/// The attempts that are not at their end, by id.
+/// The attempts that have not ended, by id.
 type Open = Arc<Mutex<HashMap<AttemptId, Handle>>>;
 
 struct Handle {
@@ -37,53 +37,53 @@
     begin: Option<oneshot::Sender<()>>,
 }
 
-/// How many attempts one connection may have open: more than an entry sends one target at the
-/// size that is designed for, 4,700 requests a second over 390 entries, kept for minutes.
+/// Most open attempts of one connection: more than an entry sends to one target at the size that
+/// the system is designed for, 4,700 requests per second over 390 entries, each open for minutes.
 const MAX_ATTEMPTS: usize = 4_096;
 
-/// The most events that may be sent ahead, whatever credit is given.
+/// Upper bound of an attempt's credit in events.
 const MAX_CREDIT: u32 = 65_536;
 
-/// How often the load is sent along with events; each token of a stream carrying it would double
-/// the stream's bytes.
-const LOAD_EVERY: Duration = Duration::from_millis(20);
+/// Minimum interval between events that carry the load. Sent with each token of a stream, it would
+/// double the stream's size.
+const LOAD_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Attempts {
-    /// Makes the empty set of attempts whose events go to `outbox`.
+    /// Creates an empty set of attempts that send their events to `outbox`.
     pub(crate) fn new(shared: Arc<Shared>, tasks: Tasks, outbox: mpsc::Sender<Frame>) -> Self {
         let closing = CancellationToken::new();
-        let (open, loads) = (Open::default(), Arc::default());
-        let incarnation = rand::random();
-        Self { shared, tasks, outbox, open, loads, closing, incarnation }
+        let (open, last_load) = (Open::default(), Arc::default());
+        let id_offset = rand::random();
+        Self { shared, tasks, outbox, open, last_load, closing, id_offset }
     }
 
-    /// Takes a request in.
+    /// Starts an attempt for a request.
     pub(crate) async fn submit(&self, submit: Submit) {
         let Submit { attempt, request, hold, credit } = submit;
         let request = request.unwrap_or_default();
-        if let Some(refusal) = self.check(attempt) {
+        if let Some(refusal) = self.check_new(attempt) {
             return self.refuse(attempt, refusal).await;
         }
-        let keeps = matches!(request.work, Some(Work::Prompt(_)));
-        let (answer, reader) = Answer::new(&request.id, &request.caller, keeps);
+        let retain = matches!(request.work, Some(Work::Prompt(_)));
+        let (answer, reader) = Answer::new(&request.id, &request.caller, retain);
         let (begin, begun) = oneshot::channel();
         self.forward(attempt, reader, credit, hold.then_some(begin));
         let job = self.job(attempt, request, answer, hold.then_some(begun));
-        self.tasks.job(job::run(self.shared.clone(), job));
+        self.tasks.spawn_job(job::run(self.shared.clone(), job));
     }
 
-    /// Starts an offered attempt.
+    /// Accepts the entry's consent to an offered attempt.
     pub(crate) async fn begin(&self, begin: Begin) {
-        let begun = {
+        let offer = {
             let mut open = self.lock();
             open.get_mut(&begin.attempt).map(|handle| handle.begin.take())
         };
-        match begun {
-            // If the offer has just expired the refusal is already on its way.
-            Some(Some(begun)) => drop(begun.send(())),
+        match offer {
+            // If the offer has just expired, the refusal is already being sent.
+            Some(Some(begin)) => drop(begin.send(())),
             Some(None) => {}
-            // It ended before, and its last event went out before this one, which is for the
-            // entry that had it expire unheard.
+            // The attempt has ended and its last event was sent. An entry that has not received
+            // that event still gets a refusal.
             None => {
                 let refusal = not_run("offer-expired", "there is no such offer");
                 self.refuse(begin.attempt, refusal).await;
@@ -91,30 +91,30 @@
         }
     }
 
-    /// Forgets an attempt and stops its work, unless another entry reads the same answer.
+    /// Removes an attempt and stops its work, unless another entry reads the same answer.
     pub(crate) fn cancel(&self, attempt: AttemptId) {
         if let Some(handle) = self.lock().remove(&attempt) {
             handle.cancel.cancel();
         }
     }
 
-    /// Lets more events of an attempt be sent.
+    /// Adds credit to an attempt.
     pub(crate) fn credit(&self, credit: Credit) {
         if let Some(handle) = self.lock().get(&credit.attempt) {
             add_credit(&handle.credit, credit.events);
         }
     }
 
-    /// Goes on with an answer that another entry began to deliver.
+    /// Continues an answer that another entry has begun to deliver.
     pub(crate) async fn attach(&self, attach: Attach) {
-        if let Some(refusal) = self.check(attach.attempt) {
+        if let Some(refusal) = self.check_new(attach.attempt) {
             return self.refuse(attach.attempt, refusal).await;
         }
         let answer = self.shared.answers.find(&attach.request, &attach.caller);
         let reader = answer.and_then(|answer| answer.attach(attach.from_token).ok());
         match reader {
             Some(reader) => self.forward(attach.attempt, reader, attach.credit, None),
-            // Another caller's request is not told from one that is not here.
+            // The refusal does not reveal whether the request exists but belongs to another caller.
             None => {
                 let refusal = unknown("unknown-answer", "no such answer is kept here");
                 self.refuse(attach.attempt, refusal).await;
@@ -122,10 +122,10 @@
         }
     }
 
-    fn check(&self, attempt: AttemptId) -> Option<Refusal> {
+    fn check_new(&self, attempt: AttemptId) -> Option<Refusal> {
         let open = self.lock();
         if open.contains_key(&attempt) {
-            // Refusing it would end the attempt that runs under this id.
+            // Sent under this id, the refusal also ends the entry's attempt that is open.
             return Some(not_run("attempt-reused", "the attempt's id is in use"));
         }
         (open.len() >= MAX_ATTEMPTS)
@@ -139,13 +139,13 @@
         answer: Arc<Answer>,
         begin: Option<oneshot::Receiver<()>>,
     ) -> Job {
-        let expires = Instant::now() + Duration::from_millis(request.deadline_ms);
-        // Two entries may count to the same attempt, so the connection's random number goes in.
-        let attempt = self.incarnation.wrapping_add(attempt);
-        Job { request, answer, begin, attempt, expires }
+        let deadline = Instant::now() + Duration::from_millis(request.deadline_ms);
+        // Two entries may use the same attempt id, so each connection adds its random offset.
+        let attempt = self.id_offset.wrapping_add(attempt);
+        Job { request, answer, begin, attempt, deadline }
     }
 
-    /// Starts sending what `reader` reads, as far as there is credit.
+    /// Starts to send the events that `reader` reads, as far as credit permits.
     fn forward(
         &self,
         attempt: AttemptId,
@@ -153,19 +153,19 @@
         credit: u32,
         begin: Option<oneshot::Sender<()>>,
     ) {
-        let (credits, cancel) = (Arc::new(Semaphore::new(0)), self.closing.child_token());
+        let (credits, closed) = (Arc::new(Semaphore::new(0)), self.closing.child_token());
         add_credit(&credits, credit);
         let cancelled = CancellationToken::new();
         let handle = Handle { credit: credits.clone(), cancel: cancelled.clone(), begin };
         self.lock().insert(attempt, handle);
         let sender = self.sender(attempt);
         let open = self.open.clone();
-        self.tasks.job(async move {
+        self.tasks.spawn_job(async move {
             let mut reader = reader;
             let cancelled = tokio::select! {
                 () = sender.forward(&mut reader, &credits) => false,
                 () = cancelled.cancelled() => true,
-                () = cancel.cancelled() => false,
+                () = closed.cancelled() => false,
             };
             if cancelled {
                 reader.cancel();
@@ -181,7 +181,7 @@
 
     fn sender(&self, attempt: AttemptId) -> Sender {
         let (shared, outbox) = (self.shared.clone(), self.outbox.clone());
-        Sender { shared, outbox, loads: self.loads.clone(), attempt }
+        Sender { shared, outbox, last_load: self.last_load.clone(), attempt }
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<AttemptId, Handle>> {
@@ -199,23 +199,23 @@
 struct Sender {
     shared: Arc<Shared>,
     outbox: mpsc::Sender<Frame>,
-    /// When a load was last sent over this connection.
-    loads: Arc<Mutex<Option<Instant>>>,
+    /// When an event of this connection last carried the load.
+    last_load: Arc<Mutex<Option<Instant>>>,
     attempt: AttemptId,
 }
 
 impl Sender {
     async fn forward(&self, reader: &mut Reader, credits: &Semaphore) {
         while let Some(kind) = reader.next().await {
-            let free = is_last(&kind) || matches!(kind, EventKind::Offer(_));
-            if !free {
+            let needs_no_credit = is_last(&kind) || matches!(kind, EventKind::Offer(_));
+            if !needs_no_credit {
                 tokio::select! {
                     permit = credits.acquire() => match permit {
                         Ok(permit) => permit.forget(),
                         // The semaphore is never closed.
                         Err(_) => return,
                     },
-                    () = reader.given_up() => continue,
+                    () = reader.discarded() => continue,
                 }
             }
             self.send(kind).await;
@@ -225,13 +225,13 @@
     async fn send(&self, kind: EventKind) {
         let load = self.load_due(&kind).then(|| self.shared.load());
         let event = Event { attempt: self.attempt, load, kind: Some(kind) };
-        // A closed connection ends this by its token; there is nobody to tell.
+        // Fails only if the connection is closed, and then the attempt's token is cancelled too.
         let _ = self.outbox.send(Frame::new(Body::Event(event))).await;
     }
 
     fn load_due(&self, kind: &EventKind) -> bool {
-        let mut last = self.loads.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = last.is_none_or(|last| last.elapsed() >= LOAD_EVERY);
+        let mut last = self.last_load.lock().unwrap_or_else(PoisonError::into_inner);
+        let due = last.is_none_or(|last| last.elapsed() >= LOAD_INTERVAL);
         if due || is_last(kind) || matches!(kind, EventKind::Offer(_)) {
             *last = Some(Instant::now());
             return true;
@@ -241,7 +241,7 @@
 }
 
 fn add_credit(credit: &Semaphore, events: u32) {
-    let room = usize::try_from(MAX_CREDIT).unwrap_or(usize::MAX);
-    let room = room.saturating_sub(credit.available_permits());
-    credit.add_permits(room.min(usize::try_from(events).unwrap_or(usize::MAX)));
+    let remaining = usize::try_from(MAX_CREDIT).unwrap_or(usize::MAX);
+    let remaining = remaining.saturating_sub(credit.available_permits());
+    credit.add_permits(remaining.min(usize::try_from(events).unwrap_or(usize::MAX)));
 }
--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -1,4 +1,4 @@
-//! The agent's claim on its target, for what the target itself does not fence.
+//! The agent's claim on its target, for targets that do not check fencing tokens.
 
 use crate::shared::Shared;
 use conf::resource::Target;
@@ -8,25 +8,25 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// The longest that one order to an engine may take; a successor waits it out.
+/// How long one order to an engine may take. A successor waits this long after the lease.
 pub(crate) const LONGEST_ORDER: Duration = Duration::from_secs(30);
 
-/// The lease on a service's instance: an agent that crashed keeps its calls waiting this long.
-/// There are few such targets, so frequent renewals cost the log little.
+/// The lease on an instance of a service. After a crash of the agent, calls wait this long. There
+/// are few such targets, so frequent renewals put little load on the log.
 const SERVICE_LEASE: Duration = Duration::from_secs(5);
 
-/// The lease on an engine: renewed every 7.5 s, so that 700 of them cost the log 93 appends a
-/// second; only orders wait for it.
+/// The lease on an engine. It is renewed every 7.5 s, so that 700 of them cause 93 appends per
+/// second. Only orders wait for it.
 const ENGINE_LEASE: Duration = Duration::from_secs(25);
 
-/// Keeps the claim while the target's resource asks for one, and gives it up when `release` says
-/// so, after all that was done under it has ended.
-pub(crate) async fn keep(shared: Arc<Shared>, release: CancellationToken) {
+/// Maintains the claim while the target's resource requires one. When `release` is cancelled, which
+/// must be after everything done under the claim has ended, it releases the claim and returns.
+pub(crate) async fn maintain(shared: Arc<Shared>, release: CancellationToken) {
     let mut config = shared.config.clone();
     loop {
-        let wanted = shared.resource().as_ref().and_then(lease_of);
-        if let Some((lease, longest)) = wanted {
-            let settings = settings(&shared, lease, longest);
+        let required = shared.resource().as_ref().and_then(required_lease);
+        if let Some((lease, max_action)) = required {
+            let settings = settings(&shared, lease, max_action);
             let lease = Lease::keep(settings, shared.appender.clone(), shared.calls.clone());
             let held = lease.held();
             let checkpoints = checkpointer(&shared, &lease).run();
@@ -46,8 +46,9 @@
     }
 }
 
-/// Writes checkpoints of the target's own stream, which nobody else follows: once its records
-/// have expired, a replaced agent would know neither the keys that were used nor the claim.
+/// Creates the checkpointer of the target's own stream, which no other process follows. Without
+/// checkpoints, an agent that is replaced after the records have expired would have neither the
+/// used keys nor the claim.
 fn checkpointer(shared: &Shared, lease: &Lease) -> Checkpointer<Calls> {
     let stream = plat::calls_stream(&shared.target);
     let (state, health) = (shared.calls.clone(), shared.calls_health.clone());
@@ -56,7 +57,7 @@
     checkpointer.settings(CheckpointerSettings::calls())
 }
 
-/// Hands on what the lease says; ends only with the lease's task.
+/// Publishes the state of the lease to the agent's tasks, until the task of the lease ends.
 async fn publish(shared: &Shared, mut held: watch::Receiver<Option<Held>>) {
     loop {
         let now = *held.borrow_and_update();
@@ -68,23 +69,23 @@
     }
 }
 
-/// The lease that a target needs and the longest act under it, if it needs any: an engine that
-/// ignores fencing numbers, or a service with calls that may not be repeated.
-fn lease_of(target: &Target) -> Option<(Duration, Duration)> {
+/// Returns the lease that a target requires and the longest action under it. Engines that ignore
+/// fencing tokens and services with calls that may not be repeated require one.
+fn required_lease(target: &Target) -> Option<(Duration, Duration)> {
     match target.is_engine() {
         true => (!target.checks_fencing).then_some((ENGINE_LEASE, LONGEST_ORDER)),
-        // A call that is still running when the claim changes hands is never run again: its key
-        // stands in the log, so nobody needs to wait for it.
+        // A call that still runs when the claim passes to a successor is never executed again,
+        // since its key is in the log. So the successor need not wait for it.
         false => (!target.repeatable).then_some((SERVICE_LEASE, Duration::ZERO)),
     }
 }
 
-fn settings(shared: &Shared, lease: Duration, longest: Duration) -> LeaseSettings {
+fn settings(shared: &Shared, lease: Duration, max_action: Duration) -> LeaseSettings {
     let stream = plat::calls_stream(&shared.target);
     LeaseSettings::new(stream, shared.scope(), shared.incarnation)
         .lease(lease)
-        .longest_order(longest)
-        // Only a replacement of this very agent competes for the claim, and an agent that starts
-        // must not refuse its first calls for longer than the log takes.
+        .longest_order(max_action)
+        // Only a replacement of this agent competes for the claim, and an agent that starts must
+        // not refuse its first calls for longer than the append takes.
         .spread(Duration::ZERO)
 }
--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -1,10 +1,10 @@
-//! The agent's process: its tasks and how it stops.
+//! The agent's process: its tasks and its graceful stop.
 
 use crate::answers::Answers;
 use crate::bootstrap::Bootstrap;
-use crate::calls::Flights;
 use crate::dispatcher::Dispatcher;
 use crate::health::Health;
+use crate::keyed_calls::InFlightCalls;
 use crate::meter::Meter;
 use crate::metrics::Metrics;
 use crate::shared::Shared;
@@ -26,35 +26,36 @@
     context: Context,
 }
 
-/// Requests that a target runs side by side until its resource says otherwise.
+/// How many requests a target runs concurrently until its resource is read.
 const DEFAULT_SLOTS: u32 = 16;
 
-/// How long a stopping agent gives what it has written to leave for its entries.
-const FLUSH: Duration = Duration::from_millis(200);
+/// How long a stopping agent waits until its last frames are sent to entries.
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// The part of the time for a stop, one in this many, that is left for streams to move.
-const MOVE_SHARE: u32 = 4;
+/// Divisor of the time for a graceful stop: this fraction of it is reserved for migrating streams.
+const MIGRATION_SHARE: u32 = 4;
 
-/// How long to wait after a failed accept.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long giving up the claim may take; without it a successor waits the lease out.
-const RELEASE: Duration = Duration::from_secs(5);
+/// How long the release of the claim may take. Without it a successor waits until the lease
+/// expires.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl Daemon {
-    /// Makes an agent that sees the world through `context`.
+    /// Creates an agent with these external dependencies.
     pub fn new(context: Context) -> Self {
         Self { context }
     }
 
-    /// Runs until the context's token is cancelled and the requests in flight are answered.
+    /// Runs until the context's token is cancelled and the requests in flight are completed.
     pub async fn run(self) -> Result<()> {
         let Context { settings, log, backend, mut listener, dialler, stop } = self.context;
         let incarnation = rand::random();
         let follower = Follower::<Config>::new(log.clone(), plat::CONFIG_STREAM.into());
         let system = Follower::<System>::new(log.clone(), plat::SYSTEM_STREAM.into());
         let calls = Follower::<Calls>::new(log.clone(), plat::calls_stream(&settings.target));
-        // All tasks end with this future, also when it is dropped.
+        // The guard ends all tasks with this future, also when it is dropped.
         let (tasks, _closing) = Tasks::new();
         let shared = Arc::new(Shared {
             name: settings.name.clone(),
@@ -76,12 +77,12 @@
             calls_health: calls.health(),
             appender: Appender::new(log, settings.name.clone()),
             held: watch::Sender::new(None),
-            flights: Flights::default(),
+            in_flight: InFlightCalls::default(),
             suspects: Suspects::default(),
             metrics: Metrics::new(),
             tasks: tasks.clone(),
             stop: stop.clone(),
-            moves: watch::Sender::new(0),
+            migrations: watch::Sender::new(0),
             sequence: AtomicU64::new(0),
         });
         let bootstrap = Bootstrap {
@@ -91,52 +92,54 @@
             config: follower.offers(),
             system: system.offers(),
         };
-        tasks.duty(bootstrap.run());
-        tasks.duty(follower.run());
-        tasks.duty(system.run());
-        tasks.duty(calls.run());
-        tasks.duty(metrics::serve(shared.clone(), settings.metrics.to_string()));
-        tasks.duty(orders::carry_out(shared.clone()));
-        tasks.job(plan::stand_ready(shared.clone()));
+        tasks.spawn(bootstrap.run());
+        tasks.spawn(follower.run());
+        tasks.spawn(system.run());
+        tasks.spawn(calls.run());
+        tasks.spawn(metrics::serve(shared.clone(), settings.metrics.to_string()));
+        tasks.spawn(orders::run(shared.clone()));
+        tasks.spawn_job(plan::run(shared.clone()));
         let release = CancellationToken::new();
-        let claiming = tasks.duty(claim::keep(shared.clone(), release.clone()));
-        tasks.duty(watch_health(shared.clone()));
-        tasks.duty(follow_resource(shared.clone()));
+        let claim_task = tasks.spawn(claim::maintain(shared.clone(), release.clone()));
+        tasks.spawn(watch_health(shared.clone()));
+        tasks.spawn(apply_resource(shared.clone()));
         loop {
             tokio::select! {
                 () = stop.cancelled() => break,
                 accepted = listener.accept() => match accepted {
                     Ok((pipe, peer)) => {
-                        drop(tasks.duty(session::serve(shared.clone(), tasks.clone(), pipe, peer)));
+                        drop(tasks.spawn(
+                            session::serve(shared.clone(), tasks.clone(), pipe, peer),
+                        ));
                     }
-                    // Out of sockets, perhaps; the requests in flight are worth more than to end.
+                    // Possibly out of sockets. Ending the agent would fail the requests in flight.
                     Err(error) => {
                         log::error!(error:% = error; "accept-failed");
-                        tokio::time::sleep(ACCEPT_RETRY).await;
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                     }
                 },
             }
         }
-        finish(&shared, &tasks, settings.drain).await;
-        // Only now, when nothing is done under the claim any more, may a successor take it.
+        drain(&shared, &tasks, settings.drain).await;
+        // A successor may take the claim only after everything done under it has ended.
         release.cancel();
-        let _ = tokio::time::timeout(RELEASE, claiming).await;
-        tokio::time::sleep(FLUSH).await;
+        let _ = tokio::time::timeout(RELEASE_TIMEOUT, claim_task).await;
+        tokio::time::sleep(FLUSH_TIME).await;
         Ok(())
     }
 }
 
-/// Waits for what runs and what waits. Streams that would outlast the time allowed are moved
-/// before it is over: without this the process would end under them, and their callers would wait
-/// for their entries to notice.
-async fn finish(shared: &Shared, tasks: &Tasks, drain: Duration) {
-    let patience = drain - drain / MOVE_SHARE;
-    if tokio::time::timeout(patience, tasks.finish()).await.is_ok() {
+/// Waits for running and waiting requests. Shortly before the time is over, the remaining streams
+/// are migrated. Otherwise they would be cut off with the process, and their callers would wait
+/// until their entries detect it.
+async fn drain(shared: &Shared, tasks: &Tasks, time_limit: Duration) {
+    let before_migration = time_limit - time_limit / MIGRATION_SHARE;
+    if tokio::time::timeout(before_migration, tasks.wait_for_jobs()).await.is_ok() {
         return;
     }
-    shared.dispatcher.move_waiting();
-    shared.moves.send_modify(|count| *count += 1);
-    if tokio::time::timeout(drain / MOVE_SHARE, tasks.finish()).await.is_err() {
+    shared.dispatcher.reject_waiting();
+    shared.migrations.send_modify(|count| *count += 1);
+    if tokio::time::timeout(time_limit / MIGRATION_SHARE, tasks.wait_for_jobs()).await.is_err() {
         log::error!(running = shared.dispatcher.counts().1; "stop-cut-requests");
     }
 }
@@ -145,8 +148,8 @@
     shared.health.watch(&shared.backend, &shared.target).await;
 }
 
-/// Keeps the number of slots as the Target resource and the engine's role say.
-async fn follow_resource(shared: Arc<Shared>) {
+/// Sets the number of slots according to the Target resource and the engine's role.
+async fn apply_resource(shared: Arc<Shared>) {
     let mut config = shared.config.clone();
     let mut health = shared.health.subscribe();
     loop {
@@ -154,8 +157,8 @@
             let role = shared.health.role();
             shared.dispatcher.set_slots(policy::queue::slots(role, target.slots));
             if target.phase == Phase::Leaving {
-                // What waits can start elsewhere sooner; what runs is finished here.
-                shared.dispatcher.move_waiting();
+                // Waiting requests start sooner at other targets. Running ones are completed here.
+                shared.dispatcher.reject_waiting();
             }
         }
         let changed = tokio::select! {
--- a/crates/agent/src/dispatcher.rs
+++ b/crates/agent/src/dispatcher.rs
@@ -1,9 +1,9 @@
-//! Who may use the target next: a bounded fair queue before a fixed number of slots.
+//! Grants the target's slots to requests in the order of a bounded fair queue.
 //!
-//! The order is [`policy::queue`]'s. Without it the engine's own queue grows without bound, works
-//! off requests whose callers have left, and a caller with many requests holds up all others.
-//! Orders and suspects use the same gate: while it is paused nothing starts, and a suspect starts
-//! only when nothing else runs.
+//! [`policy::queue`] determines the order. Without it the engine's own queue grows without bound
+//! and processes requests whose callers have left, and a caller with many requests delays all
+//! others. Orders and suspects use the same dispatcher: while it is paused nothing starts, and a
+//! suspect starts only when nothing else runs.
 
 use policy::estimate::{Cost, Rates};
 use policy::queue::{Item, Pushed, Queue, Settings};
@@ -13,87 +13,87 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
-/// Gives out the target's slots.
+/// Grants the target's slots.
 pub(crate) struct Dispatcher {
     inner: Mutex<Inner>,
-    /// Requests that hold a slot.
+    /// Number of requests that hold a slot.
     running: watch::Sender<u32>,
     epoch: Instant,
 }
 
-/// What the dispatcher needs to know of a request.
+/// A request for a slot.
 #[derive(Debug, Clone)]
-pub(crate) struct Ask {
+pub(crate) struct SlotRequest {
     /// The caller.
     pub(crate) caller: CallerId,
     /// The caller's weight.
     pub(crate) weight: u32,
-    /// Whether it goes before ordinary ones.
+    /// Whether the request goes before ordinary ones.
     pub(crate) urgent: bool,
-    /// Its predicted work.
+    /// The predicted work.
     pub(crate) cost: Cost,
-    /// When its caller stops waiting.
-    pub(crate) expires: Instant,
-    /// Whether its output has begun elsewhere.
-    pub(crate) begun: bool,
-    /// Whether it must run alone.
+    /// When the caller stops waiting.
+    pub(crate) deadline: Instant,
+    /// Whether part of the output was already generated at another target.
+    pub(crate) resumed: bool,
+    /// Whether nothing else may run at the same time.
     pub(crate) alone: bool,
 }
 
 struct Inner {
-    queue: Queue<Ticket>,
+    queue: Queue<Waiter>,
     waiting: BTreeSet<u64>,
-    next: u64,
+    next_id: u64,
     slots: u32,
     running: u32,
-    /// Whether the one that runs must be alone.
+    /// Whether the request that runs excludes all others.
     alone: bool,
     pauses: u32,
 }
 
 #[derive(Debug)]
-struct Ticket {
+struct Waiter {
     alone: bool,
-    turn: oneshot::Sender<Result<Turn, Denied>>,
+    result: oneshot::Sender<Result<SlotGuard, Denied>>,
 }
 
-/// A slot of the target, given back when dropped.
-pub(crate) struct Turn {
+/// Holds a slot of the target until dropped.
+pub(crate) struct SlotGuard {
     dispatcher: Arc<Dispatcher>,
     id: u64,
-    /// Whether nothing else runs meanwhile.
+    /// Whether nothing else runs while the slot is held.
     pub(crate) alone: bool,
 }
 
-/// While it lives, nothing starts.
+/// Keeps requests from starting until dropped.
 pub(crate) struct Pause {
     dispatcher: Arc<Dispatcher>,
 }
 
-/// Why a request got no slot; it has not run.
+/// Why a request got no slot. It has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Denied {
-    /// The queue is full, or of work that goes before it.
-    Full,
-    /// Its caller stopped waiting before a slot was free.
+    /// The queue was full, or filled up and the request was displaced.
+    QueueFull,
+    /// The caller stopped waiting before a slot was free.
     Expired,
     /// The target is being taken out of service.
-    Moved,
+    Draining,
 }
 
-/// Removes a request from the queue when whoever waits for it is gone.
-struct Waiting<'a> {
+/// Removes a request from the queue when dropped, so also when its wait is cancelled.
+struct QueueGuard<'a> {
     dispatcher: &'a Arc<Dispatcher>,
     id: u64,
 }
 
 impl Dispatcher {
-    /// Makes the gate of a target with `slots` slots.
+    /// Creates the dispatcher of a target with `slots` slots.
     pub(crate) fn new(slots: u32) -> Arc<Self> {
         let inner = Inner {
             queue: Queue::new(Settings { slots, ..Settings::default() }),
             waiting: BTreeSet::new(),
-            next: 0,
+            next_id: 0,
             slots,
             running: 0,
             alone: false,
@@ -103,128 +103,136 @@
         Arc::new(Self { inner: Mutex::new(inner), running, epoch: Instant::now() })
     }
 
-    /// Waits for a slot; a dropped wait leaves the queue at once.
-    pub(crate) async fn turn(self: &Arc<Self>, ask: Ask) -> Result<Turn, Denied> {
-        let expires = ask.expires;
-        let (turn, granted) = oneshot::channel();
-        let id = self.push(ask, turn);
-        let waiting = Waiting { dispatcher: self, id };
-        self.pump();
-        match tokio::time::timeout_at(expires, granted).await {
+    /// Waits for a slot. Dropping the future removes the request from the queue at once.
+    pub(crate) async fn acquire(
+        self: &Arc<Self>,
+        request: SlotRequest,
+    ) -> Result<SlotGuard, Denied> {
+        let deadline = request.deadline;
+        let (result, granted) = oneshot::channel();
+        let id = self.push(request, result);
+        let guard = QueueGuard { dispatcher: self, id };
+        self.grant_slots();
+        match tokio::time::timeout_at(deadline, granted).await {
             Ok(Ok(granted)) => granted,
-            Ok(Err(_)) => Err(Denied::Moved),
+            Ok(Err(_)) => Err(Denied::Draining),
             Err(_) => {
-                drop(waiting);
+                drop(guard);
                 Err(Denied::Expired)
             }
         }
     }
 
-    /// Sets how many requests run side by side.
+    /// Sets how many requests may run concurrently.
     pub(crate) fn set_slots(self: &Arc<Self>, slots: u32) {
         {
             let mut inner = self.lock();
             inner.slots = slots;
             inner.queue.set_slots(slots);
         }
-        self.pump();
+        self.grant_slots();
     }
 
-    /// Lets nothing start until the pause is dropped.
+    /// Keeps requests from starting until the returned pause is dropped.
     pub(crate) fn pause(self: &Arc<Self>) -> Pause {
         self.lock().pauses += 1;
         Pause { dispatcher: self.clone() }
     }
 
-    /// Sends all waiting requests away, so that their entries take them elsewhere.
-    pub(crate) fn move_waiting(&self) {
-        let moved = {
+    /// Rejects all waiting requests, so that their entries send them to other targets.
+    pub(crate) fn reject_waiting(&self) {
+        let rejected = {
             let mut inner = self.lock();
             let waiting = std::mem::take(&mut inner.waiting);
             let items = waiting.into_iter().map(|id| inner.queue.remove(id));
             items.collect::<Vec<_>>()
         };
-        for item in moved.into_iter().flatten() {
-            item.value.deny(Denied::Moved);
+        for item in rejected.into_iter().flatten() {
+            item.value.deny(Denied::Draining);
         }
     }
 
-    /// Waits until nothing runs.
-    pub(crate) async fn idle(&self) {
+    /// Waits until no request holds a slot.
+    pub(crate) async fn wait_idle(&self) {
         let mut running = self.running.subscribe();
-        // The sender lives as long as the dispatcher, so this ends with a match.
+        // Cannot fail: the sender is dropped only with the dispatcher.
         let _ = running.wait_for(|running| *running == 0).await;
     }
 
-    /// Requests that wait, and requests that hold a slot.
+    /// Returns the number of requests that wait and the number that hold a slot.
     pub(crate) fn counts(&self) -> (u32, u32) {
         let inner = self.lock();
         (u32::try_from(inner.waiting.len()).unwrap_or(u32::MAX), inner.running)
     }
 
-    /// How many requests run side by side.
+    /// Returns how many requests may run concurrently.
     pub(crate) fn slots(&self) -> u32 {
         self.lock().slots
     }
 
-    /// Whether nothing may start now.
+    /// Returns whether a pause keeps requests from starting.
     pub(crate) fn is_paused(&self) -> bool {
         self.lock().pauses > 0
     }
 
-    /// The waiting work that goes before a new request; none if a slot is free for it.
+    /// Returns the waiting work that goes before a new request, or `None` if it gets a slot at
+    /// once.
     pub(crate) fn ahead(&self, caller: &str, urgent: bool) -> Option<Cost> {
         let inner = self.lock();
         let free = inner.running < inner.slots && !inner.alone && inner.waiting.is_empty();
         (!free).then(|| inner.queue.ahead(caller, urgent))
     }
 
-    /// All waiting work.
+    /// Returns the sum of all waiting work.
     pub(crate) fn backlog(&self) -> Cost {
         self.lock().queue.backlog().cost
     }
 
-    fn push(&self, ask: Ask, turn: oneshot::Sender<Result<Turn, Denied>>) -> u64 {
+    fn push(
+        &self,
+        request: SlotRequest,
+        result: oneshot::Sender<Result<SlotGuard, Denied>>,
+    ) -> u64 {
         let mut inner = self.lock();
-        let id = inner.next;
-        inner.next += 1;
+        let id = inner.next_id;
+        inner.next_id += 1;
         let item = Item {
             id,
-            caller: ask.caller,
-            weight: ask.weight,
-            urgent: ask.urgent,
-            cost: ask.cost,
-            deadline: Some(ask.expires.saturating_duration_since(self.epoch)),
-            begun: ask.begun,
-            value: Ticket { alone: ask.alone, turn },
+            caller: request.caller,
+            weight: request.weight,
+            urgent: request.urgent,
+            cost: request.cost,
+            deadline: Some(request.deadline.saturating_duration_since(self.epoch)),
+            begun: request.resumed,
+            value: Waiter { alone: request.alone, result },
         };
         inner.waiting.insert(id);
-        let put_out = match inner.queue.push(item, self.now()) {
+        let rejected = match inner.queue.push(item, self.now()) {
             Pushed::Queued => Vec::new(),
             Pushed::Displaced(items) => items,
             Pushed::Full(item) => vec![item],
         };
-        for item in put_out {
+        for item in rejected {
             inner.waiting.remove(&item.id);
-            item.value.deny(Denied::Full);
+            item.value.deny(Denied::QueueFull);
         }
         id
     }
 
-    /// Gives free slots to those whose turn it is.
-    fn pump(self: &Arc<Self>) {
+    /// Rejects expired requests and grants free slots to the next ones in the queue.
+    fn grant_slots(self: &Arc<Self>) {
         let (granted, expired) = {
             let mut inner = self.lock();
             let expired = inner.expire(self.now());
             (inner.grant(self.now()), expired)
         };
-        for ticket in expired {
-            ticket.deny(Denied::Expired);
+        for waiter in expired {
+            waiter.deny(Denied::Expired);
         }
-        for (id, ticket) in granted {
-            let turn = Turn { dispatcher: self.clone(), id, alone: ticket.alone };
-            // If nobody waits any more the turn comes back here and is given on.
-            let _ = ticket.turn.send(Ok(turn));
+        for (id, waiter) in granted {
+            let slot = SlotGuard { dispatcher: self.clone(), id, alone: waiter.alone };
+            // If the wait was cancelled, the guard is dropped here and its slot is granted anew.
+            let _ = waiter.result.send(Ok(slot));
         }
         let running = self.lock().running;
         self.running.send_if_modified(|old| std::mem::replace(old, running) != running);
@@ -239,18 +247,18 @@
     }
 }
 
-impl Ticket {
+impl Waiter {
     fn deny(self, denied: Denied) {
-        // Whoever dropped its wait needs no answer.
-        let _ = self.turn.send(Err(denied));
+        // Fails only if the wait was cancelled, which needs no result.
+        let _ = self.result.send(Err(denied));
     }
 }
 
 impl Inner {
-    fn grant(&mut self, now: Time) -> Vec<(u64, Ticket)> {
+    fn grant(&mut self, now: Time) -> Vec<(u64, Waiter)> {
         let mut granted = Vec::new();
         while self.pauses == 0 && !self.alone {
-            // A suspect at the head lets nothing more start until it has the target for itself.
+            // A suspect at the head of the queue waits until nothing runs and holds up the rest.
             let next = self.queue.peek(now);
             if next.is_some_and(|item| item.value.alone) && self.running > 0 {
                 break;
@@ -264,8 +272,8 @@
         granted
     }
 
-    /// Work that nobody waits for any more must not start.
-    fn expire(&mut self, now: Time) -> Vec<Ticket> {
+    /// Removes the requests whose deadline has passed. They must not start.
+    fn expire(&mut self, now: Time) -> Vec<Waiter> {
         let expired = self.queue.expire(now);
         for item in &expired {
             self.waiting.remove(&item.id);
@@ -274,19 +282,19 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         {
             let mut inner = self.dispatcher.lock();
             inner.queue.remove(self.id);
             inner.waiting.remove(&self.id);
         }
-        // A suspect that left may have held up others.
-        self.dispatcher.pump();
+        // The removed request may be a suspect that held up the rest of the queue.
+        self.dispatcher.grant_slots();
     }
 }
 
-impl Drop for Turn {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         {
             let mut inner = self.dispatcher.lock();
@@ -294,24 +302,24 @@
             inner.running -= 1;
             inner.alone = false;
         }
-        self.dispatcher.pump();
+        self.dispatcher.grant_slots();
     }
 }
 
-impl std::fmt::Debug for Turn {
+impl std::fmt::Debug for SlotGuard {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Turn").field("id", &self.id).field("alone", &self.alone).finish()
+        f.debug_struct("SlotGuard").field("id", &self.id).field("alone", &self.alone).finish()
     }
 }
 
 impl Drop for Pause {
     fn drop(&mut self) {
         self.dispatcher.lock().pauses -= 1;
-        self.dispatcher.pump();
+        self.dispatcher.grant_slots();
     }
 }
 
-/// Rates of a target whose slots each make a token in `token_time` seconds.
+/// Returns the rates of a target whose slots each generate one token per `token_time`.
 pub(crate) fn rates(prefill: u64, slots: u32, token_time: std::time::Duration) -> Rates {
     let unknown = Rates::default();
     let prefill = u32::try_from(prefill).map_or(unknown.prefill, f64::from);
--- a/crates/agent/src/flight.rs
+++ b/crates/agent/src/flight.rs
@@ -1,12 +1,13 @@
-//! One run of a call that may not be repeated: intent, dispatch, record; written straight down.
+//! One execution of a call that may not be repeated: append the intent, dispatch, record the
+//! outcome.
 
 use crate::answer::Answer;
-use crate::calls::Key;
-use crate::dispatcher::{Ask, Denied, Turn};
+use crate::dispatcher::{Denied, SlotGuard, SlotRequest};
 use crate::job::Job;
+use crate::keyed_calls::CallKey;
 use crate::refusal::{self, not_run, unknown};
 use crate::shared::{CALL_TOKENS, Shared};
-use crate::{Backend, perform};
+use crate::{Backend, service_call};
 use bytes::{Bytes, BytesMut};
 use compact_str::{CompactString, ToCompactString};
 use futures_util::StreamExt;
@@ -18,35 +19,35 @@
 use tokio::time::Instant;
 use wire::{Call, End, EventKind, Part, Refusal};
 
-/// One run of a call.
-pub(crate) struct Flight {
+/// A call that is being executed under its key.
+pub(crate) struct InFlightCall {
     shared: Arc<Shared>,
-    key: Key,
+    key: CallKey,
     call: Call,
     held: Held,
     answer: Arc<Answer>,
     caller: CompactString,
     urgent: bool,
-    expires: Instant,
+    deadline: Instant,
     traceparent: String,
 }
 
-/// The largest body that is recorded: the log carries each answer, and a transfer's confirmation
-/// is far smaller. A retry of a call with a larger one learns its status only.
-const MAX_RECORDED: usize = 64 * 1024;
+/// Largest body that is recorded. The log stores every recorded answer, and the confirmation of a
+/// transfer is far smaller. For a larger body a retry is only given the status.
+const MAX_RECORDED_BYTES: usize = 64 * 1024;
 
-/// How long to wait before an outcome is appended again.
-const RECORD_RETRY: Duration = Duration::from_secs(1);
+/// Delay before a failed append of an outcome is retried.
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an appended intent may take to be read back.
-const READ_BACK: Duration = Duration::from_secs(3);
+/// How long to wait until an appended record is read back.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(3);
 
-impl Flight {
-    /// Makes the run of `call`, which sends its events to `answer`.
+impl InFlightCall {
+    /// Creates the execution of `call`, which sends its events to `answer`.
     pub(crate) fn new(
         shared: &Arc<Shared>,
         job: &Job,
-        key: Key,
+        key: CallKey,
         call: Call,
         held: Held,
         answer: Arc<Answer>,
@@ -59,34 +60,35 @@
             answer,
             caller: job.request.caller.to_compact_string(),
             urgent: job.request.urgent,
-            expires: job.expires,
+            deadline: job.deadline,
             traceparent: job.request.traceparent.clone(),
         }
     }
 
-    /// Runs the call at most once and records what became of it.
+    /// Executes the call at most once and records the outcome.
     pub(crate) async fn run(self) {
-        let (intent, outcome) = match self.intend().await {
+        let (intent, outcome) = match self.append_intent().await {
             Ok(intent) => (Some(intent), self.dispatch(intent).await),
             Err(refusal) => (None, Err((refusal, None))),
         };
         let record = match outcome {
             Ok(record) => Some(record),
             Err((refusal, record)) => {
-                // The last event never waits.
+                // Cannot fail: the last event is never held back by slow readers.
                 let _ = self.answer.push(EventKind::Refusal(refusal)).await;
                 record
             }
         };
         if let (Some(intent), Some(record)) = (intent, record) {
             let claim = self.held.claim;
-            write(&self.shared, record::Answer { intent, claim, ..record }).await;
+            record_outcome(&self.shared, record::Answer { intent, claim, ..record }).await;
         }
-        self.shared.flights.end(&self.key.key);
+        self.shared.in_flight.remove(&self.key.key);
     }
 
-    /// Appends the intent and reads it back as the one that counts.
-    async fn intend(&self) -> Result<u64, Refusal> {
+    /// Appends the intent and checks, once it is read back, that it permits the dispatch. Returns
+    /// its offset.
+    async fn append_intent(&self) -> Result<u64, Refusal> {
         let intent = Body::Intent(record::Intent {
             key: self.key.key.clone(),
             digest: self.key.digest.clone(),
@@ -94,112 +96,115 @@
             claim: self.held.claim,
         });
         let stream = plat::calls_stream(&self.shared.target);
-        // After any error this attempt is never dispatched. If the reply was lost the intent may
-        // still appear; it is then found pending, not under way here, and freed.
+        // After an error this attempt is never dispatched. If the reply was lost, the intent may
+        // still appear in the log. The next attempt with the key finds it pending, but not in
+        // flight here, and releases the key.
         let appended = self.shared.appender.append(&stream, intent).await;
         let appended = appended.map_err(|error| log_unavailable(&error))?;
         let mut calls = self.shared.calls.clone();
         let read = calls.wait_for(|calls| calls.end() > appended.offset);
-        match tokio::time::timeout(READ_BACK, read).await {
+        match tokio::time::timeout(READ_BACK_TIMEOUT, read).await {
             Ok(Ok(_)) => {}
             Ok(Err(_)) | Err(_) => {
-                self.free_later(appended.offset);
+                self.release_later(appended.offset);
                 return Err(not_run("log-unavailable", "the intent could not be read back"));
             }
         }
-        let counts = self.shared.calls.borrow().may_dispatch(&self.key.key, appended.offset);
-        if counts { Ok(appended.offset) } else { Err(self.overtaken()) }
+        let may_dispatch = self.shared.calls.borrow().may_dispatch(&self.key.key, appended.offset);
+        if may_dispatch { Ok(appended.offset) } else { Err(self.intent_refusal()) }
     }
 
-    /// The intent does not count: another came first, or the claim was lost before it.
-    fn overtaken(&self) -> Refusal {
+    /// Returns the refusal for an intent that does not permit the dispatch: another attempt came
+    /// first, or the claim was lost.
+    fn intent_refusal(&self) -> Refusal {
         let calls = self.shared.calls.borrow();
-        let known = calls.call(&self.key.key);
-        match known.filter(|call| call.status != state::CallStatus::NotRun) {
+        let recorded = calls.call(&self.key.key);
+        match recorded.filter(|call| call.status != state::CallStatus::NotRun) {
             Some(_) => unknown("in-progress", "another attempt with the key came first"),
             None => not_run("no-claim", "the agent lost its target before it began"),
         }
     }
 
-    /// Dispatches the call. On success gives what is to be recorded; on failure the refusal, and
-    /// what is to be recorded.
+    /// Dispatches the call. Returns the outcome to record; on failure the refusal and the outcome
+    /// to record, if any.
     async fn dispatch(
         &self,
         intent: u64,
     ) -> Result<record::Answer, (Refusal, Option<record::Answer>)> {
-        let never = |refusal| (refusal, Some(record::Answer { not_run: true, ..empty() }));
-        let mut share = self.shared.meter.add(0, u64::from(CALL_TOKENS));
-        let _turn = self.turn().await.map_err(never)?;
-        share.start();
+        let not_dispatched =
+            |refusal| (refusal, Some(record::Answer { not_run: true, ..unknown_outcome() }));
+        let mut work = self.shared.meter.add(0, u64::from(CALL_TOKENS));
+        let _slot = self.acquire_slot().await.map_err(not_dispatched)?;
+        work.start();
         let Backend::Service(service) = &self.shared.backend else {
-            return Err(never(not_run("wrong-target", "this target is no service")));
+            return Err(not_dispatched(not_run("wrong-target", "this target is no service")));
         };
-        self.check(intent).map_err(never)?;
-        let call = perform::target_call(self.call.clone(), &self.traceparent);
+        self.check_claim(intent).map_err(not_dispatched)?;
+        let call = service_call::target_call(self.call.clone(), &self.traceparent);
         let response = match service.call(call).await {
             Ok(response) => response,
             Err(error @ target::Error::NotReached { .. }) => {
-                return Err(never(refusal::from_target(&error)));
+                return Err(not_dispatched(refusal::from_target(&error)));
             }
             Err(error) => {
                 let refusal = unknown("outcome-unknown", error.to_string());
-                return Err((refusal, Some(empty())));
+                return Err((refusal, Some(unknown_outcome())));
             }
         };
-        let recorded = self.hand_on(response).await;
-        share.answered();
-        recorded
+        let result = self.forward(response).await;
+        work.answered();
+        result
     }
 
-    async fn turn(&self) -> Result<Turn, Refusal> {
-        let ask = Ask {
+    async fn acquire_slot(&self) -> Result<SlotGuard, Refusal> {
+        let request = SlotRequest {
             caller: self.caller.clone(),
             weight: self.shared.weight(&self.caller),
             urgent: self.urgent,
             cost: Cost::new(0, u64::from(CALL_TOKENS)),
-            expires: self.expires,
-            begun: false,
+            deadline: self.deadline,
+            resumed: false,
             alone: false,
         };
-        let turn = self.shared.dispatcher.turn(ask).await;
-        turn.map_err(|denied| match denied {
-            Denied::Full => not_run("queue-full", "too much waits at the target"),
+        let slot = self.shared.dispatcher.acquire(request).await;
+        slot.map_err(|denied| match denied {
+            Denied::QueueFull => not_run("queue-full", "too much waits at the target"),
             Denied::Expired => not_run("deadline-exceeded", "no slot was free in time"),
-            Denied::Moved => not_run("draining", "the target is being taken out of service"),
+            Denied::Draining => not_run("draining", "the target is being taken out of service"),
         })
     }
 
-    /// The last look before the call goes out: the claim must still be held. A pause between this
-    /// look and the write is left uncovered, and does no harm to the key: a successor finds the
-    /// intent and runs it no more.
-    fn check(&self, intent: u64) -> Result<(), Refusal> {
+    /// Checks directly before the dispatch that the claim is still held and the intent still
+    /// permits it. A pause of the process between this check and the dispatch is not covered, but
+    /// cannot cause a second execution: a successor finds the intent and never executes the key.
+    fn check_claim(&self, intent: u64) -> Result<(), Refusal> {
         let held = *self.shared.held.borrow();
-        let same = held.is_some_and(|held| held.is_valid() && held.claim == self.held.claim);
-        let counts = self.shared.calls.borrow().may_dispatch(&self.key.key, intent);
-        if same && counts {
+        let claim_held = held.is_some_and(|held| held.is_valid() && held.claim == self.held.claim);
+        let may_dispatch = self.shared.calls.borrow().may_dispatch(&self.key.key, intent);
+        if claim_held && may_dispatch {
             Ok(())
         } else {
             Err(not_run("no-claim", "the agent lost its target before it began"))
         }
     }
 
-    /// Hands the response on and keeps what is recorded of it.
-    async fn hand_on(
+    /// Forwards the response and returns the outcome to record.
+    async fn forward(
         &self,
         mut response: target::Response,
     ) -> Result<record::Answer, (Refusal, Option<record::Answer>)> {
-        let lines = response
+        let headers = response
             .headers
             .iter()
             .map(|header| format!("{}: {}", header.name, String::from_utf8_lossy(&header.value)));
         let mut record = record::Answer {
             status: u32::from(response.status),
-            headers: lines.collect(),
-            ..empty()
+            headers: headers.collect(),
+            ..unknown_outcome()
         };
-        let head = perform::head(response.status, &response.headers);
+        let head = service_call::head(response.status, &response.headers);
         let mut body = BytesMut::new();
-        let mut reads = self.answer.push(EventKind::Head(head)).await.is_ok();
+        let mut reader_active = self.answer.push(EventKind::Head(head)).await.is_ok();
         while let Some(part) = response.body.next().await {
             let bytes = match part {
                 Ok(bytes) => bytes,
@@ -209,61 +214,68 @@
                     return Err((refusal, Some(record)));
                 }
             };
-            keep(&mut body, &mut record, &bytes);
-            // Whoever takes nothing loses the rest; the call has run and is recorded as such.
-            reads = reads && self.answer.push(EventKind::Part(Part { bytes })).await.is_ok();
+            record_body(&mut body, &mut record, &bytes);
+            // A stalled reader loses the rest. The call was executed and is recorded as such.
+            reader_active =
+                reader_active && self.answer.push(EventKind::Part(Part { bytes })).await.is_ok();
         }
         record.body = body.freeze();
-        if !reads {
-            self.answer.give_up();
+        if !reader_active {
+            self.answer.discard_unread();
             let refusal = refusal::started("slow-reader", "the caller took nothing for too long");
             return Err((refusal, Some(record)));
         }
-        // The last event never waits.
+        // Cannot fail: the last event is never held back by slow readers.
         let _ = self.answer.push(EventKind::End(End::default())).await;
         Ok(record)
     }
 
-    /// Says in the log that the intent was never dispatched, once the log takes it.
-    fn free_later(&self, intent: u64) {
+    /// Records in the background that the intent was never dispatched, which releases the key.
+    fn release_later(&self, intent: u64) {
         let (shared, claim) = (self.shared.clone(), self.held.claim);
-        self.shared.tasks.job(async move {
-            write(&shared, record::Answer { intent, claim, not_run: true, ..empty() }).await;
+        self.shared.tasks.spawn_job(async move {
+            record_outcome(
+                &shared,
+                record::Answer { intent, claim, not_run: true, ..unknown_outcome() },
+            )
+            .await;
         });
     }
 }
 
-/// Says in the log that an intent of ours was never dispatched, and waits until that is read back.
-pub(crate) async fn free(shared: &Shared, intent: u64) -> Result<(), Refusal> {
+/// Records that an intent of this agent was never dispatched, which releases its key, and waits
+/// until the record is read back.
+pub(crate) async fn release_key(shared: &Shared, intent: u64) -> Result<(), Refusal> {
     let claim = (*shared.held.borrow()).map_or(0, |held| held.claim);
-    let answer = record::Answer { intent, claim, not_run: true, ..empty() };
+    let answer = record::Answer { intent, claim, not_run: true, ..unknown_outcome() };
     let stream = plat::calls_stream(&shared.target);
     let appended = shared.appender.append(&stream, Body::Answer(answer)).await;
     let appended = appended.map_err(|error| log_unavailable(&error))?;
     let mut calls = shared.calls.clone();
     let read = calls.wait_for(|calls| calls.end() > appended.offset);
-    match tokio::time::timeout(READ_BACK, read).await {
+    match tokio::time::timeout(READ_BACK_TIMEOUT, read).await {
         Ok(Ok(_)) => Ok(()),
         Ok(Err(_)) | Err(_) => Err(not_run("log-unavailable", "the log cannot be read")),
     }
 }
 
-/// Appends an outcome until it stands in the log, however long the log is out.
+/// Retries the append of an outcome until it succeeds, however long the log is unavailable.
 ///
-/// Until then the key counts as under way here. Given up, the intent would look as if it had never
-/// been dispatched, and a retry would free its key and run the call again.
-async fn write(shared: &Shared, answer: record::Answer) {
+/// Until then the key counts as in flight. If the append were given up, the intent would look as if
+/// it had never been dispatched, and a retry would release its key and execute the call again.
+async fn record_outcome(shared: &Shared, answer: record::Answer) {
     let stream = plat::calls_stream(&shared.target);
-    // Appending it twice does no harm: the first one counts.
+    // A duplicate is harmless, since the first outcome is the one that counts.
     while let Err(error) = shared.appender.append(&stream, Body::Answer(answer.clone())).await {
         log::warn!(intent = answer.intent, error:% = error; "outcome-not-recorded");
-        tokio::time::sleep(RECORD_RETRY).await;
+        tokio::time::sleep(RECORD_RETRY_INTERVAL).await;
     }
 }
 
-/// Keeps a piece of the body for the record, unless it becomes too long.
-fn keep(body: &mut BytesMut, record: &mut record::Answer, bytes: &Bytes) {
-    if record.body_left_out || body.len() + bytes.len() > MAX_RECORDED {
+/// Adds a part of the body to the record, or drops the body if it becomes longer than
+/// [`MAX_RECORDED_BYTES`].
+fn record_body(body: &mut BytesMut, record: &mut record::Answer, bytes: &Bytes) {
+    if record.body_left_out || body.len() + bytes.len() > MAX_RECORDED_BYTES {
         record.body_left_out = true;
         body.clear();
     } else {
@@ -271,11 +283,11 @@
     }
 }
 
-/// An answer that says that the outcome is unknown.
-fn empty() -> record::Answer {
+/// Returns an answer with an unknown outcome.
+fn unknown_outcome() -> record::Answer {
     record::Answer::default()
 }
 
 fn log_unavailable(error: &Error) -> Refusal {
-    refusal::retry_after(not_run("log-unavailable", error.to_string()), RECORD_RETRY)
+    refusal::retry_after(not_run("log-unavailable", error.to_string()), RECORD_RETRY_INTERVAL)
 }
--- a/crates/agent/src/health.rs
+++ b/crates/agent/src/health.rs
@@ -1,4 +1,4 @@
-//! Whether the target is up, and what its engine really is: its role, its models, its incarnation.
+//! Health checks of the target. For an engine they also return its role, models and incarnation.
 
 use crate::Backend;
 use compact_str::CompactString;
@@ -7,13 +7,13 @@
 use target::Status;
 use tokio::sync::{Notify, watch};
 
-/// The target's state as last seen.
+/// The target's state at the last check.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) enum State {
-    /// Not looked yet.
+    /// Not checked yet.
     #[default]
     Unknown,
-    /// It does not answer.
+    /// The target does not answer.
     Down,
     /// An engine that answers.
     Engine(Status),
@@ -21,37 +21,37 @@
     Service,
 }
 
-/// Watches the target.
+/// Checks the target and publishes its state.
 #[derive(Default)]
 pub(crate) struct Health {
     state: watch::Sender<State>,
-    look: Notify,
+    check_requested: Notify,
 }
 
-/// How often the target is asked: a crash is noticed well within the 2 s after which no new work
-/// may reach a target that is gone.
-const EVERY: Duration = Duration::from_millis(500);
+/// Interval between checks. It detects a crash well within the 2 s after which no new work may
+/// reach a target that has failed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an answer may take; a target that is slower is as good as down.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a check may take. A slower target counts as down.
+const CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Health {
-    /// Asks the target again and again until the task is dropped.
+    /// Checks the target periodically until the task is dropped.
     pub(crate) async fn watch(&self, backend: &Backend, target: &CompactString) {
         loop {
             self.refresh(backend, target).await;
             tokio::select! {
-                () = tokio::time::sleep(EVERY) => {}
-                () = self.look.notified() => {}
+                () = tokio::time::sleep(CHECK_INTERVAL) => {}
+                () = self.check_requested.notified() => {}
             }
         }
     }
 
-    /// Asks the target now.
+    /// Checks the target now and returns its state.
     pub(crate) async fn refresh(&self, backend: &Backend, target: &CompactString) -> State {
-        let state = ask(backend).await;
-        let before = self.state.send_replace(state.clone());
-        let (was_down, is_down) = (before == State::Down, state == State::Down);
+        let state = probe(backend).await;
+        let previous = self.state.send_replace(state.clone());
+        let (was_down, is_down) = (previous == State::Down, state == State::Down);
         if is_down && !was_down {
             log::warn!(target_name = target.as_str(); "target-down");
         }
@@ -61,22 +61,22 @@
         state
     }
 
-    /// Has the target asked again soon, because something was seen that may have changed it.
-    pub(crate) fn look(&self) {
-        self.look.notify_one();
+    /// Requests a check as soon as possible, because the state may have changed.
+    pub(crate) fn request_check(&self) {
+        self.check_requested.notify_one();
     }
 
-    /// The state as last seen.
+    /// Returns the state at the last check.
     pub(crate) fn state(&self) -> State {
         self.state.borrow().clone()
     }
 
-    /// Hears of each change of the state.
+    /// Subscribes to the state.
     pub(crate) fn subscribe(&self) -> watch::Receiver<State> {
         self.state.subscribe()
     }
 
-    /// The engine's role as last seen; mixed if it is not known.
+    /// Returns the engine's role at the last check; mixed if it is unknown.
     pub(crate) fn role(&self) -> Role {
         match &*self.state.borrow() {
             State::Engine(status) => status.role,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The engine's incarnation as last seen.
+    /// Returns the engine's incarnation at the last check.
     pub(crate) fn incarnation(&self) -> Option<u64> {
         match &*self.state.borrow() {
             State::Engine(status) => Some(status.incarnation),
@@ -93,14 +93,14 @@
     }
 }
 
-async fn ask(backend: &Backend) -> State {
-    let asking = async {
+async fn probe(backend: &Backend) -> State {
+    let probe = async {
         match backend {
             Backend::Engine(engine) => engine.status().await.map(State::Engine),
             Backend::Service(service) => service.probe().await.map(|()| State::Service),
         }
     };
-    match tokio::time::timeout(TIMEOUT, asking).await {
+    match tokio::time::timeout(CHECK_TIMEOUT, probe).await {
         Ok(Ok(state)) => state,
         Ok(Err(_)) | Err(_) => State::Down,
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,9 @@
-//! The process beside each target, the only one that talks to it.
+//! The agent: a process next to each target, and the only one that connects to it.
 //!
-//! Entries hand requests to it over framed connections; it queues them briefly, dispatches them
-//! to the target, streams the answer back, and carries out the orders in the log.
+//! Entries send requests to the agent over framed connections. It queues them briefly, dispatches
+//! them to the target, streams the answers back and executes the orders in the log.
 //!
-//! - [`Context`]: what the agent sees of the world, which tests replace.
+//! - [`Context`]: the external dependencies of an agent, which tests replace.
 //! - [`Daemon`]: the process itself.
 
 mod answer;
@@ -11,7 +11,6 @@
 mod asks;
 mod attempts;
 mod bootstrap;
-mod calls;
 mod claim;
 mod context;
 mod daemon;
@@ -20,15 +19,16 @@
 mod flight;
 mod health;
 mod job;
+mod keyed_calls;
 mod kv;
 mod meter;
 mod metrics;
 mod orders;
 mod peer;
-mod perform;
 mod plan;
 mod prompt;
 mod refusal;
+mod service_call;
 mod session;
 mod shared;
 mod sightings;
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the agent counts, and the address where it is read.
+//! The agent's metrics and the HTTP server that exposes them.
 
 use crate::shared::Shared;
 use async_trait::async_trait;
@@ -12,30 +12,30 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router, Server};
 use std::sync::Arc;
 
-/// What the agent counts.
+/// The agent's metrics.
 pub(crate) struct Metrics {
     registry: Registry,
     refusals: Family<Reason, Counter>,
-    /// Output tokens that were generated.
+    /// Generated output tokens.
     pub(crate) output_tokens: Counter,
-    /// Requests that were answered whole.
+    /// Requests that were answered completely.
     pub(crate) completed: Counter,
-    /// Orders that were closed, in force or not.
+    /// Orders that were closed, successfully or not.
     pub(crate) orders: Counter,
-    /// Requests that ran when the engine crashed.
+    /// Requests that were running when the engine crashed.
     pub(crate) suspicions: Counter,
-    /// KV caches taken over from other targets.
+    /// KV caches imported from other targets.
     pub(crate) kv_imports: Counter,
     gauges: Gauges,
 }
 
-/// Values that are read when the metrics are.
+/// Gauges that are updated when the metrics are read.
 #[derive(Default)]
 struct Gauges {
     waiting: Gauge,
     running: Gauge,
     accepting: Gauge,
-    wait: Gauge,
+    expected_wait: Gauge,
     log_lag: Gauge,
     holds_claim: Gauge,
     appends: Gauge,
@@ -48,7 +48,7 @@
 }
 
 impl Metrics {
-    /// Makes all metrics at zero.
+    /// Creates all metrics with a value of zero.
     pub(crate) fn new() -> Self {
         let mut registry = Registry::with_prefix("lapismast_agent");
         let refusals = Family::<Reason, Counter>::default();
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Counts an attempt that was given up.
-    pub(crate) fn refused(&self, reason: &str) {
+    /// Counts an attempt that was refused.
+    pub(crate) fn count_refusal(&self, reason: &str) {
         self.refusals.get_or_create(&Reason { reason: reason.to_owned() }).inc();
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     fn text(&self, shared: &Shared) -> String {
         self.gauges.read(shared);
         let mut text = String::new();
@@ -103,7 +103,7 @@
         let appended = self.appended.clone();
         registry.register_with_unit("log_appended", "Appended bytes", Unit::Bytes, appended);
         let help = "Milliseconds that a new request would wait";
-        registry.register("expected_wait_milliseconds", help, self.wait.clone());
+        registry.register("expected_wait_milliseconds", help, self.expected_wait.clone());
     }
 
     fn read(&self, shared: &Shared) {
@@ -111,9 +111,10 @@
         self.waiting.set(i64::from(waiting));
         self.running.set(i64::from(running));
         self.accepting.set(i64::from(shared.accepting().is_ok()));
-        self.wait.set(i64::try_from(shared.wait().as_millis()).unwrap_or(i64::MAX));
-        let held = shared.held.borrow().is_some_and(|held| held.is_valid());
-        self.holds_claim.set(i64::from(held));
+        self.expected_wait
+            .set(i64::try_from(shared.expected_wait().as_millis()).unwrap_or(i64::MAX));
+        let holds_claim = shared.held.borrow().is_some_and(|held| held.is_valid());
+        self.holds_claim.set(i64::from(holds_claim));
         let lag = shared.system_health.borrow().lag();
         self.log_lag.set(i64::try_from(lag).unwrap_or(i64::MAX));
         self.appends.set(i64::try_from(shared.appender.appends()).unwrap_or(i64::MAX));
@@ -122,12 +123,12 @@
     }
 }
 
-struct Page {
+struct MetricsHandler {
     shared: Arc<Shared>,
 }
 
 #[async_trait]
-impl Handler for Page {
+impl Handler for MetricsHandler {
     async fn handle(
         &self,
         _: &mut Request,
@@ -139,7 +140,7 @@
     }
 }
 
-/// Serves the metrics at `address` until the task is dropped; an empty address serves none.
+/// Serves the metrics at `address` until the task is dropped, or returns if `address` is empty.
 pub(crate) async fn serve(shared: Arc<Shared>, address: String) {
     if address.is_empty() {
         return;
@@ -152,6 +153,6 @@
             return log::error!(address = address.as_str(), error:% = error; "metrics-not-served");
         }
     };
-    let router = Router::with_path("metrics").get(Page { shared });
+    let router = Router::with_path("metrics").get(MetricsHandler { shared });
     Server::new(acceptor).serve(router).await;
 }
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -1,4 +1,4 @@
-//! The planner's duty, which the agents of a pool share among themselves.
+//! Runs the planner of the target's pool on a few of the pool's agents.
 
 use crate::shared::Shared;
 use compact_str::CompactString;
@@ -8,39 +8,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How many agents of a pool are to plan for it. All 700 would race for the claim when a planner
-/// falls silent; five of them, chosen by hash, hardly fail together.
+/// How many agents of a pool are candidates for its planner. All 700 would race for the claim when
+/// a planner fails; five of them, selected by hash, are unlikely to fail together.
 const CANDIDATES: usize = 5;
 
-/// How long the other agents leave a silent pool to the candidates, should these fail together
-/// all the same, as with a whole failure domain. Spread as widely, few of 700 claim at once.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// How long the other agents wait for the candidates before they claim a pool without a planner, in
+/// case all candidates fail together, for example with a failure domain. Claims are spread over the
+/// same time, so that few of 700 agents claim at once.
+const FALLBACK_DELAY: Duration = Duration::from_secs(30);
 
-/// How often an agent looks whether it is a candidate.
-const EVERY: Duration = Duration::from_secs(2);
+/// Interval at which an agent checks whether it is a candidate.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Stands ready to plan for the pool of its target, until it stops and has given up what it holds.
-pub(crate) async fn stand_ready(shared: Arc<Shared>) {
+/// Runs the planner for the pool of the target until the agent stops and the planner has released
+/// its claim.
+pub(crate) async fn run(shared: Arc<Shared>) {
     while !shared.stop.is_cancelled() {
-        if let Some(place) = place(&shared) {
-            let ended = shared.stop.child_token();
-            let mut planning = std::pin::pin!(planner(&shared, &place).run(ended.clone()));
+        if let Some(candidacy) = candidacy(&shared) {
+            let stop = shared.stop.child_token();
+            let mut planner_task = std::pin::pin!(planner(&shared, &candidacy).run(stop.clone()));
             tokio::select! {
-                () = &mut planning => {}
-                () = no_longer(&shared, &place) => {
-                    ended.cancel();
-                    planning.await;
+                () = &mut planner_task => {}
+                () = candidacy_changed(&shared, &candidacy) => {
+                    stop.cancel();
+                    planner_task.await;
                 }
             }
         }
-        shared.stop.run_until_cancelled(tokio::time::sleep(EVERY)).await;
+        shared.stop.run_until_cancelled(tokio::time::sleep(CHECK_INTERVAL)).await;
     }
 }
 
-/// The pool that this agent stands ready for, and how long it leaves it to others.
-type Place = (CompactString, Duration);
+/// The pool that this agent may plan for, and how long it waits for other agents first.
+type Candidacy = (CompactString, Duration);
 
-fn place(shared: &Shared) -> Option<Place> {
+fn candidacy(shared: &Shared) -> Option<Candidacy> {
     let pool = shared.resource().filter(|target| target.phase == Phase::Active)?.pool;
     let config = shared.config.borrow();
     let members =
@@ -48,23 +50,23 @@
     let mut ranked: Vec<_> =
         members.map(|(name, _)| (mix(hash(&pool), hash(name)), name.clone())).collect();
     ranked.sort();
-    let chosen = ranked.iter().take(CANDIDATES).any(|(_, name)| *name == shared.target);
-    Some((pool, if chosen { Duration::ZERO } else { PATIENCE }))
+    let is_candidate = ranked.iter().take(CANDIDATES).any(|(_, name)| *name == shared.target);
+    Some((pool, if is_candidate { Duration::ZERO } else { FALLBACK_DELAY }))
 }
 
-async fn no_longer(shared: &Shared, place: &Place) {
-    while self::place(shared).as_ref() == Some(place) {
-        tokio::time::sleep(EVERY).await;
+async fn candidacy_changed(shared: &Shared, candidacy: &Candidacy) {
+    while self::candidacy(shared).as_ref() == Some(candidacy) {
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
-fn planner(shared: &Shared, (pool, patience): &Place) -> Planner {
+fn planner(shared: &Shared, (pool, delay): &Candidacy) -> Planner {
     let (dialler, key) = (shared.dialler.clone(), shared.key.clone());
     let fleet = Dial::new(dialler, key, shared.name.clone(), shared.incarnation);
     Planner::new(Context {
         pool: pool.clone(),
         incarnation: shared.incarnation,
-        patience: *patience,
+        patience: *delay,
         appender: shared.appender.clone(),
         config: Followed { state: shared.config.clone(), health: shared.config_health.clone() },
         system: Followed { state: shared.system.clone(), health: shared.system_health.clone() },
--- a/crates/agent/src/prompt.rs
+++ b/crates/agent/src/prompt.rs
@@ -1,9 +1,9 @@
-//! One generation at the engine.
+//! One generation at the engine, from its admission to the last token.
 
-use crate::dispatcher::Turn;
+use crate::dispatcher::SlotGuard;
 use crate::health::State;
-use crate::job::{Job, check_deadline, take_turn};
-use crate::meter::Share;
+use crate::job::{Job, acquire_slot, check_deadline};
+use crate::meter::TrackedWork;
 use crate::refusal::{self, not_run, started};
 use crate::shared::Shared;
 use crate::{Backend, kv, suspects};
@@ -17,7 +17,7 @@
 use target::{Engine, Output};
 use wire::{Delta, End, EventKind, Finish, Prompt, Refusal};
 
-/// Runs a prompt to the end of its answer.
+/// Generates the answer to a prompt.
 pub(crate) async fn run(
     shared: &Arc<Shared>,
     job: &mut Job,
@@ -26,30 +26,42 @@
     let Backend::Engine(engine) = &shared.backend else {
         return Err(not_run("wrong-target", "this target is no engine"));
     };
-    let expected = prompt.expected_tokens.saturating_sub(prompt.resume_tokens);
-    let cost = Cost::new(u64::from(prompt.prompt_tokens), u64::from(expected));
+    let output_tokens = prompt.expected_tokens.saturating_sub(prompt.resume_tokens);
+    let cost = Cost::new(u64::from(prompt.prompt_tokens), u64::from(output_tokens));
     check_deadline(shared, job, cost)?;
-    let mut share = shared.meter.add(cost.prefill, cost.decode);
-    let turn = fair_trial(shared, job, cost).await?;
-    // Whoever moves streams pauses the dispatcher first, so none is missed in between.
-    let moves = shared.moves.subscribe();
-    share.start();
+    let mut work = shared.meter.add(cost.prefill, cost.decode);
+    let slot = acquire_checked_slot(shared, job, cost).await?;
+    // An order pauses the dispatcher before it migrates streams, so no migration is missed up to
+    // here.
+    let migrations = shared.migrations.subscribe();
+    work.start();
     let id = format_compact!("{}.{}", job.request.id, job.attempt);
     shared.answers.insert(&job.answer, id.clone());
     let incarnation = shared.health.incarnation();
-    let run =
-        Run { shared, engine: engine.as_ref(), job, id, moves, alone: turn.alone, incarnation };
-    let (result, cache) = run.to_end(prompt, &mut share).await;
+    let generation = Generation {
+        shared,
+        engine: engine.as_ref(),
+        job,
+        id,
+        migrations,
+        alone: slot.alone,
+        incarnation,
+    };
+    let (result, cache) = generation.run(prompt, &mut work).await;
     shared.answers.finish(&job.answer, cache);
-    if result.is_ok() && turn.alone {
+    if result.is_ok() && slot.alone {
         suspects::clear(shared, job.request.fingerprint);
     }
     result
 }
 
-/// Waits for a slot, alone if the request is a suspect; what was read from the log while it
-/// waited counts too.
-async fn fair_trial(shared: &Arc<Shared>, job: &mut Job, cost: Cost) -> Result<Turn, Refusal> {
+/// Waits for a slot, and for the whole target if the request is a suspect. The verdict is checked
+/// again once the slot is granted, since records may have been read from the log meanwhile.
+async fn acquire_checked_slot(
+    shared: &Arc<Shared>,
+    job: &mut Job,
+    cost: Cost,
+) -> Result<SlotGuard, Refusal> {
     loop {
         let alone = match suspects::verdict(shared, job.request.fingerprint) {
             Verdict::Normal => false,
@@ -58,49 +70,49 @@
                 return Err(not_run("quarantined", "the request crashed the engines that ran it"));
             }
         };
-        let turn = take_turn(shared, job, cost, alone).await?;
+        let slot = acquire_slot(shared, job, cost, alone).await?;
         let verdict = suspects::verdict(shared, job.request.fingerprint);
         if verdict == Verdict::Normal || (alone && verdict != Verdict::Refuse) {
-            return Ok(turn);
+            return Ok(slot);
         }
     }
 }
 
-/// A generation under way.
-struct Run<'a> {
+/// A running generation.
+struct Generation<'a> {
     shared: &'a Shared,
     engine: &'a dyn Engine,
     job: &'a Job,
     /// The job's id at the engine.
     id: CompactString,
-    moves: tokio::sync::watch::Receiver<u64>,
-    /// Whether nothing else runs beside it.
+    migrations: tokio::sync::watch::Receiver<u64>,
+    /// Whether nothing else runs at the same time.
     alone: bool,
-    /// The engine's incarnation when it began.
+    /// The engine's incarnation when the generation started.
     incarnation: Option<u64>,
 }
 
-/// How long the engine may take to hand out or take a KV cache; longer costs more than reading
-/// the prompt again.
-const KV_TIME: Duration = Duration::from_secs(2);
+/// How long the export or import of a KV cache may take. Beyond that a new prefill of the prompt is
+/// cheaper.
+const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Run<'_> {
-    /// Generates until the end, unless the answer is abandoned or must move; a cache is returned
-    /// if it was taken from the engine.
-    async fn to_end(
+impl Generation<'_> {
+    /// Generates to the end, unless the answer is abandoned or the stream is migrated. Returns the
+    /// KV cache if it was exported from the engine.
+    async fn run(
         &self,
         prompt: Prompt,
-        share: &mut Share<'_>,
+        work: &mut TrackedWork<'_>,
     ) -> (Result<(), Refusal>, Option<Bytes>) {
-        let mut moves = self.moves.clone();
+        let mut migrations = self.migrations.clone();
         tokio::select! {
-            result = self.generate(prompt, share) => (result, None),
+            result = self.generate(prompt, work) => (result, None),
             () = self.job.answer.abandoned() => {
                 self.cancel().await;
                 (Err(started("cancelled", "nobody waits for it")), None)
             }
-            // The sender lives in `shared`, so this is a change.
-            _ = moves.changed() => {
+            // `shared` holds the sender, so this is a change and not the end of the channel.
+            _ = migrations.changed() => {
                 let cache = self.export().await;
                 self.cancel().await;
                 (Err(started("draining", "the target is being taken out of service")), cache)
@@ -108,7 +120,7 @@
         }
     }
 
-    async fn generate(&self, prompt: Prompt, share: &mut Share<'_>) -> Result<(), Refusal> {
+    async fn generate(&self, prompt: Prompt, work: &mut TrackedWork<'_>) -> Result<(), Refusal> {
         let mut from_token = prompt.resume_tokens;
         if !prompt.kv_source.is_empty() {
             self.import(&prompt.kv_source).await;
@@ -117,16 +129,16 @@
         let outputs = self.engine.generate(job).await;
         let mut outputs = match outputs {
             Ok(outputs) => outputs,
-            Err(error) => return Err(self.failed(&error).await),
+            Err(error) => return Err(self.handle_error(&error).await),
         };
         while let Some(output) = outputs.next().await {
             let output = match output {
                 Ok(output) => output,
-                Err(error) => return Err(self.failed(&error).await),
+                Err(error) => return Err(self.handle_error(&error).await),
             };
             match output {
                 Output::Text { text, tokens } => {
-                    share.advance(tokens);
+                    work.advance(tokens);
                     self.shared.metrics.output_tokens.inc_by(u64::from(tokens));
                     self.push(EventKind::Delta(Delta { from_token, tokens, text })).await?;
                     from_token += tokens;
@@ -153,29 +165,30 @@
         match self.job.answer.push(kind).await {
             Ok(()) => Ok(()),
             Err(_) => {
-                self.job.answer.give_up();
+                self.job.answer.discard_unread();
                 self.cancel().await;
                 Err(started("slow-reader", "the caller took nothing for too long"))
             }
         }
     }
 
-    /// What an error means; if the engine crashed, the request becomes a suspect first.
-    async fn failed(&self, error: &target::Error) -> Refusal {
+    /// Returns the refusal for an error. If the engine crashed, the request is recorded as a
+    /// suspect first.
+    async fn handle_error(&self, error: &target::Error) -> Refusal {
         if matches!(error, target::Error::Broken { .. })
-            && let Some(crashed) = self.crashed().await
+            && let Some(incarnation) = self.crashed_incarnation().await
         {
             self.shared.metrics.suspicions.inc();
             let fingerprint = self.job.request.fingerprint;
-            suspects::accuse(self.shared, fingerprint, crashed, self.alone).await;
+            suspects::record_crash(self.shared, fingerprint, incarnation, self.alone).await;
         }
-        self.shared.health.look();
+        self.shared.health.request_check();
         refusal::from_target(error)
     }
 
-    /// The incarnation that crashed, if the engine is down or another one by now. A stream that
-    /// breaks while the engine lives is no crash.
-    async fn crashed(&self) -> Option<u64> {
+    /// Returns the incarnation that crashed, if the engine is now down or has a new incarnation. A
+    /// stream that breaks while the engine keeps running is not a crash.
+    async fn crashed_incarnation(&self) -> Option<u64> {
         let before = self.incarnation;
         match self.shared.health.refresh(&self.shared.backend, &self.shared.target).await {
             State::Down => Some(before.unwrap_or_default()),
@@ -184,19 +197,19 @@
         }
     }
 
-    /// Stops the job at the engine too; without this it would go on generating for nobody.
+    /// Cancels the job at the engine, which would otherwise generate to the end.
     async fn cancel(&self) {
         if let Err(error) = self.engine.cancel(&self.id).await {
             log::warn!(job = self.id.as_str(), error:% = error; "cancel-failed");
         }
     }
 
-    /// Hands the engine the KV cache of the target where the stream ran before, if it can be had.
+    /// Imports the KV cache from the target where the stream ran before, if it is available there.
     async fn import(&self, source: &str) {
         let request = &self.job.request.id;
         let Some(cache) = kv::fetch(self.shared, source, request).await else { return };
-        let importing = self.engine.import_kv(&self.id, cache);
-        match tokio::time::timeout(KV_TIME, importing).await {
+        let import = self.engine.import_kv(&self.id, cache);
+        match tokio::time::timeout(KV_TIMEOUT, import).await {
             Ok(Ok(())) => {
                 self.shared.metrics.kv_imports.inc();
                 log::info!(request = request.as_str(), source = source; "kv-imported");
@@ -209,8 +222,8 @@
     }
 
     async fn export(&self) -> Option<Bytes> {
-        let exporting = self.engine.export_kv(&self.id);
-        match tokio::time::timeout(KV_TIME, exporting).await {
+        let export = self.engine.export_kv(&self.id);
+        match tokio::time::timeout(KV_TIMEOUT, export).await {
             Ok(Ok(cache)) => Some(cache),
             Ok(Err(error)) => {
                 log::warn!(job = self.id.as_str(), error:% = error; "kv-export-failed");
@@ -222,12 +235,12 @@
 
     fn engine_job(&self, prompt: Prompt) -> target::Job {
         let request = &self.job.request;
-        // After the first token the prompt has been read, which is all that was asked.
-        let most = if prompt.prefill_only { prompt.resume_tokens + 1 } else { u32::MAX };
+        // The first token ends the prefill, which is all that was requested.
+        let max_tokens = if prompt.prefill_only { prompt.resume_tokens + 1 } else { u32::MAX };
         target::Job {
             id: self.id.clone(),
             serve: served_name(&prompt),
-            max_tokens: prompt.max_tokens.min(most),
+            max_tokens: prompt.max_tokens.min(max_tokens),
             prompt: prompt.text,
             resume_text: prompt.resume_text,
             resume_tokens: prompt.resume_tokens,
@@ -238,7 +251,7 @@
     }
 }
 
-/// The name under which the engine serves what the prompt asks for.
+/// Returns the name under which the engine serves the requested model, version and adapter.
 fn served_name(prompt: &Prompt) -> CompactString {
     let mut name = prompt.model.to_compact_string();
     if !prompt.version.is_empty() {
--- a/crates/agent/src/perform.rs
+++ b/crates/agent/src/service_call.rs
@@ -1,7 +1,7 @@
-//! One call of a plain service.
+//! One call to an instance of a plain service.
 
 use crate::Backend;
-use crate::job::{Job, check_deadline, take_turn};
+use crate::job::{Job, acquire_slot, check_deadline};
 use crate::refusal::{self, not_run, started};
 use crate::shared::{CALL_TOKENS, Shared};
 use compact_str::ToCompactString;
@@ -11,25 +11,26 @@
 use target::Service;
 use wire::{Call, End, EventKind, Head, Header, Part, Progress, Refusal};
 
-/// Runs a call to the end of its response.
+/// Executes a call and streams its response.
 pub(crate) async fn run(shared: &Arc<Shared>, job: &mut Job, call: Call) -> Result<(), Refusal> {
     let Backend::Service(service) = &shared.backend else {
         return Err(not_run("wrong-target", "this target is no service"));
     };
     let cost = Cost::new(0, u64::from(CALL_TOKENS));
     check_deadline(shared, job, cost)?;
-    let mut share = shared.meter.add(cost.prefill, cost.decode);
-    let _turn = take_turn(shared, job, cost, false).await?;
-    share.start();
-    let performed = tokio::select! {
-        done = stream(service.as_ref(), job, call) => done,
-        () = job.answer.unread() => Err(started("cancelled", "nobody waits for it")),
+    let mut work = shared.meter.add(cost.prefill, cost.decode);
+    let _slot = acquire_slot(shared, job, cost, false).await?;
+    work.start();
+    let result = tokio::select! {
+        result = stream(service.as_ref(), job, call) => result,
+        () = job.answer.detached() => Err(started("cancelled", "nobody waits for it")),
     };
-    share.answered();
-    performed
+    work.answered();
+    result
 }
 
-/// Runs a call that may not be repeated and carries no key: once, with an honest word of it.
+/// Executes a call that may not be repeated and has no idempotency key. A refusal after the
+/// dispatch reports the outcome as unknown.
 pub(crate) async fn run_once(
     shared: &Arc<Shared>,
     job: &mut Job,
@@ -37,14 +38,14 @@
 ) -> Result<(), Refusal> {
     run(shared, job, call).await.map_err(|refusal| match refusal.progress() {
         Progress::NotRun => refusal,
-        // Without a key nobody can ask later what became of it.
+        // Without a key the outcome cannot be looked up later.
         Progress::Started | Progress::Unknown => {
             Refusal { progress: Progress::Unknown.into(), ..refusal }
         }
     })
 }
 
-/// Hands the response on piece by piece.
+/// Forwards the response part by part.
 async fn stream(service: &dyn Service, job: &Job, call: Call) -> Result<(), Refusal> {
     let call = target_call(call, &job.request.traceparent);
     let response = service.call(call).await;
@@ -60,12 +61,12 @@
 
 async fn push(job: &Job, kind: EventKind) -> Result<(), Refusal> {
     job.answer.push(kind).await.map_err(|_| {
-        job.answer.give_up();
+        job.answer.discard_unread();
         started("slow-reader", "the caller took nothing for too long")
     })
 }
 
-/// The call as the service receives it.
+/// Converts a call to the form that the service receives.
 pub(crate) fn target_call(call: Call, traceparent: &str) -> target::Call {
     let headers = call.headers.into_iter().filter(|header| header.name != TRACEPARENT);
     let headers = headers.map(|header| target::Header {
@@ -86,7 +87,7 @@
 
 const TRACEPARENT: &str = "traceparent";
 
-/// The response's head as an event.
+/// Converts the head of a response to an event.
 pub(crate) fn head(status: u16, headers: &[target::Header]) -> Head {
     let headers = headers
         .iter()
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -1,4 +1,4 @@
-//! One connection: the handshake, its frames, and how it ends.
+//! One connection: its handshake, frames and end.
 
 use crate::asks;
 use crate::attempts::Attempts;
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use wire::{Ask, Body, Connection, Frame, Hello, Ping, Pipe, Pong, Reader, Writer};
 
-/// One connection and what its tasks share.
+/// The state of one connection.
 pub(crate) struct Session {
     shared: Arc<Shared>,
     tasks: Tasks,
@@ -20,47 +20,47 @@
     peer: CompactString,
 }
 
-/// How many frames wait for the connection before streams wait for it.
+/// Capacity of a connection's outbox in frames. Streams wait while it is full.
 const OUTBOX_FRAMES: usize = 1_024;
 
-/// How long a stranger may hold a connection without having proved that it knows the key.
-const HANDSHAKE_TIME: Duration = Duration::from_secs(5);
+/// How long a peer may hold a connection before it has proved that it has the key.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// After this long without a frame the peer is asked whether it is there.
-const PING_AFTER: Duration = Duration::from_secs(5);
+/// Time without a frame after which a ping is sent to the peer.
+const PING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// After this long without a frame the connection counts as lost: a peer that was cut off or
-/// paused leaves a connection that looks open for many minutes, and its attempts would keep their
-/// slots all that time.
-const LOST_AFTER: Duration = Duration::from_secs(15);
+/// Time without a frame after which the connection counts as lost. The connection of a peer that
+/// was paused or disconnected from the network looks open for many minutes, and its attempts would
+/// keep their slots all that time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a frame may take to be written; a peer that takes none in is as good as lost.
-const WRITE_TIME: Duration = Duration::from_secs(15);
+/// How long a write may take. A peer that reads nothing for this long counts as lost.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Serves one connection until it closes; its jobs may outlive it.
+/// Serves one connection until it closes. Jobs may continue after that.
 pub(crate) async fn serve(shared: Arc<Shared>, tasks: Tasks, pipe: Pipe, address: CompactString) {
     let mut connection = Connection::new(pipe, address.clone());
-    let Some(hello) = greet(&shared, &mut connection, &address).await else { return };
+    let Some(hello) = handshake(&shared, &mut connection, &address).await else { return };
     let peer = CompactString::from(hello.name);
     log::info!(peer = peer.as_str(), address = address.as_str(); "peer-connected");
     let (reader, writer) = connection.split();
     let (outbox, frames) = mpsc::channel(OUTBOX_FRAMES);
     let attempts = Attempts::new(shared.clone(), tasks.clone(), outbox.clone());
     let session = Session { shared, tasks, attempts, outbox, peer: peer.clone() };
-    let why = tokio::select! {
-        why = session.read(reader) => why,
-        why = write(writer, frames) => why,
+    let reason = tokio::select! {
+        reason = session.read(reader) => reason,
+        reason = write(writer, frames) => reason,
     };
-    log::info!(peer = peer.as_str(), reason = why.as_str(); "peer-disconnected");
+    log::info!(peer = peer.as_str(), reason = reason.as_str(); "peer-disconnected");
 }
 
-async fn greet(
+async fn handshake(
     shared: &Shared,
     connection: &mut Connection,
     address: &CompactString,
 ) -> Option<Hello> {
-    let greeting = wire::accept(connection, &shared.key, shared.hello());
-    match tokio::time::timeout(HANDSHAKE_TIME, greeting).await {
+    let accept = wire::accept(connection, &shared.key, shared.hello());
+    match tokio::time::timeout(HANDSHAKE_TIMEOUT, accept).await {
         Ok(Ok(hello)) => Some(hello),
         Ok(Err(error)) => {
             log::warn!(peer = address.as_str(), error:% = error; "peer-refused");
@@ -74,30 +74,32 @@
 }
 
 impl Session {
-    /// Handles frames until the connection is lost; returns why it is.
+    /// Handles frames until the connection is lost, and returns the reason.
     async fn read(mut self, mut reader: Reader) -> String {
-        let mut heard = Instant::now();
+        let mut last_frame = Instant::now();
         loop {
-            match tokio::time::timeout(PING_AFTER, reader.next()).await {
+            match tokio::time::timeout(PING_INTERVAL, reader.next()).await {
                 Ok(Some(Ok(frame))) => {
-                    heard = Instant::now();
+                    last_frame = Instant::now();
                     if !self.handle(frame).await {
                         return "the connection is closed".to_owned();
                     }
                 }
                 Ok(Some(Err(error))) => return error.to_string(),
                 Ok(None) => return "the peer closed it".to_owned(),
-                Err(_) if heard.elapsed() >= LOST_AFTER => return "the peer is silent".to_owned(),
+                Err(_) if last_frame.elapsed() >= IDLE_TIMEOUT => {
+                    return "the peer is silent".to_owned();
+                }
                 Err(_) => {
                     let ping = Ping { nonce: rand::random(), sender: None, wants_sightings: false };
-                    // A full outbox is no sign of life either; the next frame decides.
+                    // A full outbox does not matter: the idle timeout counts received frames only.
                     let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
                 }
             }
         }
     }
 
-    /// Handles one frame; false once nothing can be sent any more.
+    /// Handles one frame and returns whether the outbox is still open.
     async fn handle(&mut self, frame: Frame) -> bool {
         match frame.body {
             Some(Body::Submit(submit)) => self.attempts.submit(submit).await,
@@ -107,12 +109,12 @@
             Some(Body::Attach(attach)) => self.attempts.attach(attach).await,
             Some(Body::Ping(ping)) => return self.pong(ping).await,
             Some(Body::Ask(ask)) => self.ask(ask),
-            // Answers to our pings are signs of life, which the reader has noted.
+            // They only show that the peer is alive, which `read` has recorded.
             Some(Body::Pong(_) | Body::Reply(_)) => {}
             Some(Body::Hello(_) | Body::Proof(_) | Body::Event(_)) => {
                 log::warn!(peer = self.peer.as_str(); "frame-unexpected");
             }
-            // A kind of a newer version; whoever sends it copes with its being ignored.
+            // A kind of a newer version, whose senders must tolerate that it is ignored.
             None => {}
         }
         !self.outbox.is_closed()
@@ -120,7 +122,7 @@
 
     async fn pong(&self, ping: Ping) -> bool {
         if let Some(sender) = ping.sender {
-            self.shared.sightings.hear(sender);
+            self.shared.sightings.record(sender);
         }
         let sightings =
             if ping.wants_sightings { self.shared.sightings.list() } else { Vec::new() };
@@ -129,28 +131,28 @@
         self.outbox.send(Frame::new(Body::Pong(pong))).await.is_ok()
     }
 
-    /// Answers a question in a task of its own, since an engine may take its time.
+    /// Replies in a separate task, since the engine may take long.
     fn ask(&self, ask: Ask) {
         let (shared, outbox) = (self.shared.clone(), self.outbox.clone());
-        self.tasks.job(async move {
+        self.tasks.spawn_job(async move {
             let reply = asks::answer(&shared, ask).await;
-            // A peer that is gone needs no reply.
+            // Fails only if the connection is closed.
             let _ = outbox.send(Frame::new(Body::Reply(reply))).await;
         });
     }
 }
 
-/// Writes frames, flushing once for all that are ready; returns why it ended.
+/// Writes frames, with one flush for all that are ready, and returns the reason why it ended.
 async fn write(mut writer: Writer, mut frames: mpsc::Receiver<Frame>) -> String {
     while let Some(frame) = frames.recv().await {
-        let writing = async {
+        let batch = async {
             writer.feed(frame).await?;
             while let Ok(frame) = frames.try_recv() {
                 writer.feed(frame).await?;
             }
             writer.flush().await
         };
-        match tokio::time::timeout(WRITE_TIME, writing).await {
+        match tokio::time::timeout(WRITE_TIMEOUT, batch).await {
             Ok(Ok(())) => {}
             Ok(Err(error)) => return error.to_string(),
             Err(_) => return "the peer takes nothing in".to_owned(),
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -1,10 +1,10 @@
-//! What all tasks of an agent share, and what it says of its target.
+//! The state that all tasks of an agent share, and the load that it reports for its target.
 
 use crate::Backend;
 use crate::answers::Answers;
-use crate::calls::Flights;
 use crate::dispatcher::{self, Dispatcher};
 use crate::health::{Health, State};
+use crate::keyed_calls::InFlightCalls;
 use crate::meter::Meter;
 use crate::metrics::Metrics;
 use crate::sightings::Sightings;
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::{Dialler, Hello, Key, Load};
 
-/// What all tasks of an agent share.
+/// The state that all tasks of an agent share.
 pub(crate) struct Shared {
     pub(crate) name: CompactString,
     pub(crate) target: CompactString,
@@ -45,31 +45,31 @@
     pub(crate) appender: Appender,
     /// The claim on the target, while it is held.
     pub(crate) held: watch::Sender<Option<Held>>,
-    pub(crate) flights: Flights,
+    pub(crate) in_flight: InFlightCalls,
     pub(crate) suspects: Suspects,
     pub(crate) metrics: Metrics,
     pub(crate) tasks: Tasks,
     /// Cancelled when the agent is asked to stop.
     pub(crate) stop: CancellationToken,
-    /// Counts up each time running streams must move to other targets.
-    pub(crate) moves: watch::Sender<u64>,
+    /// Incremented each time all running streams must migrate to other targets.
+    pub(crate) migrations: watch::Sender<u64>,
     pub(crate) sequence: AtomicU64,
 }
 
-/// Assumed time between tokens until it is measured: the 48 ms that 95 in 100 must keep.
+/// Assumed time between tokens until it is measured: the objective of 48 ms at the 95th percentile.
 const DEFAULT_TOKEN_TIME: Duration = Duration::from_millis(48);
 
-/// A call counts as this many tokens, so that calls share the queue's bounds in tokens: some
-/// 1,200 of them may wait.
+/// Number of tokens that a call counts as, so that the queue's bounds in tokens apply to calls.
+/// Some 1,200 calls may wait.
 pub(crate) const CALL_TOKENS: u32 = 50;
 
 impl Shared {
-    /// The greeting for a new connection.
+    /// Returns the handshake message for a new connection.
     pub(crate) fn hello(&self) -> Hello {
         Hello::new(&self.name, self.incarnation, rand::random())
     }
 
-    /// The target's resource, if it is known.
+    /// Returns the target's resource, if the configuration has it.
     pub(crate) fn resource(&self) -> Option<Target> {
         let config = self.config.borrow();
         match &config.get(Kind::Target, &self.target)?.spec {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// The scope of the claim on the target.
+    /// Returns the scope of the claim on the target.
     pub(crate) fn scope(&self) -> CompactString {
         format_compact!("target/{}", self.target)
     }
 
-    /// A caller's weight, 1 if it is not known.
+    /// Returns a caller's weight, 1 if the caller is not configured.
     pub(crate) fn weight(&self, caller: &str) -> u32 {
         match self.config.borrow().get(Kind::Caller, caller).map(|entry| &entry.spec) {
             Some(Spec::Caller(caller)) => caller.weight,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether the target takes new work, or why it doesn't.
+    /// Returns an error with the reason if the target does not accept new work.
     pub(crate) fn accepting(&self) -> Result<(), &'static str> {
         if self.stop.is_cancelled() {
             return Err("its agent is stopping");
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The target's phase; an agent that has read no configuration yet leaves it to the entry,
-    /// which sends work by its own.
+    /// Returns the target's phase. Before the agent has read any configuration it assumes `Active`,
+    /// since entries check the phase in their own configuration.
     fn phase(&self) -> Option<Phase> {
         if self.config.borrow().end() == 0 {
             return Some(Phase::Active);
@@ -125,7 +125,7 @@
         self.resource().map(|target| target.phase)
     }
 
-    /// The load now.
+    /// Returns the current load.
     pub(crate) fn load(&self) -> Load {
         let (waiting, running) = self.dispatcher.counts();
         let (prompt_tokens, output_tokens) = self.meter.tokens();
@@ -141,56 +141,58 @@
             running,
             waiting,
             slots: self.dispatcher.slots(),
-            prefill_rate: narrow(rates.prefill),
-            decode_rate: narrow(whole(self.rates().decode)),
+            prefill_rate: saturating_u32(rates.prefill),
+            decode_rate: saturating_u32(rate_to_u64(self.rates().decode)),
             accepting: self.accepting().is_ok(),
             serves: serves.iter().map(ToString::to_string).collect(),
             role,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed) + 1,
             config_offset: self.config.borrow().end(),
-            wait_ms: u64::try_from(self.wait().as_millis()).unwrap_or(u64::MAX),
+            wait_ms: u64::try_from(self.expected_wait().as_millis()).unwrap_or(u64::MAX),
             token_time_us: u64::try_from(rates.token_time.as_micros()).unwrap_or(u64::MAX),
         }
     }
 
-    /// How long a new ordinary request would wait for a slot.
-    pub(crate) fn wait(&self) -> Duration {
-        self.ahead("", false).time(&self.rates())
+    /// Returns how long a new ordinary request would wait for a slot.
+    pub(crate) fn expected_wait(&self) -> Duration {
+        self.work_ahead("", false).time(&self.rates())
     }
 
-    /// The work that goes before a new request of `caller`, and its share of what runs: the first
-    /// slot is free after that, and all slots work off what waits.
-    pub(crate) fn ahead(&self, caller: &str, urgent: bool) -> Cost {
+    /// Returns the waiting work that goes before a new request of `caller`, plus one slot's share
+    /// of the running work: after that share the first slot is free, and all slots process the
+    /// waiting work.
+    pub(crate) fn work_ahead(&self, caller: &str, urgent: bool) -> Cost {
         let Some(waiting) = self.dispatcher.ahead(caller, urgent) else { return Cost::default() };
         let (prompt_tokens, output_tokens) = self.meter.tokens();
-        let runs = Cost::new(prompt_tokens, output_tokens) - self.dispatcher.backlog();
+        let running_work = Cost::new(prompt_tokens, output_tokens) - self.dispatcher.backlog();
         let slots = u64::from(self.dispatcher.slots().max(1));
-        waiting + Cost::new(runs.prefill / slots, runs.decode / slots)
+        waiting + Cost::new(running_work.prefill / slots, running_work.decode / slots)
     }
 
-    /// Whether the target's speed has been measured yet.
+    /// Returns whether the target's speed has been measured.
     pub(crate) fn is_measured(&self) -> bool {
         let rates = self.meter.rates();
         !rates.token_time.is_zero() || !rates.call_time.is_zero()
     }
 
-    /// The target's speed when all its slots are busy.
+    /// Returns the target's speed with all slots busy.
     pub(crate) fn rates(&self) -> Rates {
         let rates = self.meter.rates();
-        let known = |time: Duration, otherwise| if time.is_zero() { otherwise } else { time };
+        let or_default = |time: Duration, default| if time.is_zero() { default } else { time };
         let token_time = match self.backend {
-            Backend::Engine(_) => known(rates.token_time, DEFAULT_TOKEN_TIME),
-            Backend::Service(_) => known(rates.call_time, DEFAULT_TOKEN_TIME) / CALL_TOKENS,
+            Backend::Engine(_) => or_default(rates.token_time, DEFAULT_TOKEN_TIME),
+            Backend::Service(_) => or_default(rates.call_time, DEFAULT_TOKEN_TIME) / CALL_TOKENS,
         };
         dispatcher::rates(rates.prefill, self.dispatcher.slots(), token_time)
     }
 }
 
-fn narrow(value: u64) -> u32 {
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
 
-/// A rate as a whole number; the conversion by way of a span of time saturates and never panics.
-fn whole(rate: f64) -> u64 {
+/// Converts a rate to an integer. The conversion through a duration cannot panic; a rate that does
+/// not fit becomes 0.
+fn rate_to_u64(rate: f64) -> u64 {
     Duration::try_from_secs_f64(rate).map_or(0, |span| span.as_secs())
 }
--- a/crates/agent/src/sightings.rs
+++ b/crates/agent/src/sightings.rs
@@ -1,4 +1,4 @@
-//! What entries said of themselves, kept for whoever asks: membership and offered demand.
+//! Membership and offered demand as reported by entries, for peers that request them.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -6,33 +6,33 @@
 use tokio::time::Instant;
 use wire::Sighting;
 
-/// How long a sighting counts; an entry pings every few seconds.
-const KEEP: Duration = Duration::from_secs(60);
+/// How long a sighting is valid. Entries send pings every few seconds.
+const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// How many entries are remembered: above twice the 390 nodes that the system is designed for.
+/// Most entries that are tracked: more than twice the 390 nodes that the system is designed for.
 const MAX_ENTRIES: usize = 1_024;
 
-/// The entries that an agent has heard from.
+/// The latest sighting of each entry.
 #[derive(Default)]
 pub(crate) struct Sightings {
-    heard: Mutex<HashMap<String, (Sighting, Instant)>>,
+    by_entry: Mutex<HashMap<String, (Sighting, Instant)>>,
 }
 
 impl Sightings {
-    /// Remembers what an entry says of itself.
-    pub(crate) fn hear(&self, sighting: Sighting) {
-        let mut heard = self.lock();
-        heard.retain(|_, (_, at)| at.elapsed() <= KEEP);
-        if heard.len() < MAX_ENTRIES || heard.contains_key(&sighting.entry) {
-            heard.insert(sighting.entry.clone(), (sighting, Instant::now()));
+    /// Records the sighting that an entry has sent.
+    pub(crate) fn record(&self, sighting: Sighting) {
+        let mut by_entry = self.lock();
+        by_entry.retain(|_, (_, at)| at.elapsed() <= MAX_AGE);
+        if by_entry.len() < MAX_ENTRIES || by_entry.contains_key(&sighting.entry) {
+            by_entry.insert(sighting.entry.clone(), (sighting, Instant::now()));
         }
     }
 
-    /// All entries heard from of late, by name, each with its age.
+    /// Returns the valid sightings with their age, ordered by the entry's name.
     pub(crate) fn list(&self) -> Vec<Sighting> {
-        let heard = self.lock();
-        let fresh = heard.values().filter(|(_, at)| at.elapsed() <= KEEP);
-        let aged = fresh.map(|(sighting, at)| {
+        let by_entry = self.lock();
+        let recent = by_entry.values().filter(|(_, at)| at.elapsed() <= MAX_AGE);
+        let aged = recent.map(|(sighting, at)| {
             let age = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
             Sighting { age_ms: sighting.age_ms.saturating_add(age), ..sighting.clone() }
         });
@@ -42,6 +42,6 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<String, (Sighting, Instant)>> {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner)
+        self.by_entry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/agent/src/suspects.rs
+++ b/crates/agent/src/suspects.rs
@@ -1,7 +1,8 @@
-//! Requests that were running when the engine crashed, told to the whole fleet through the log.
+//! Records in the log, for the whole fleet, which requests were running when the engine crashed.
 //!
-//! Without this a request that crashes each engine that runs it walks through the fleet, since
-//! its caller sends it again. After one crash it runs alone; after the second the fleet refuses it.
+//! Without this, a request that crashes every engine that runs it takes down one engine after
+//! another, since its caller retries it. After one crash it runs alone; after the second all agents
+//! refuse it.
 
 use crate::shared::Shared;
 use policy::quarantine::{CrashHistory, CrashRecords, Quarantine, Verdict};
@@ -10,68 +11,68 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// What this agent has seen itself; the log's records come on top.
+/// The crashes that this agent has observed itself, in addition to the records in the log.
 #[derive(Default)]
 pub(crate) struct Suspects {
-    seen: Mutex<HashMap<u64, Seen>>,
-    /// How many records the last crash has cost.
-    crash: Mutex<(u64, usize)>,
+    by_fingerprint: Mutex<HashMap<u64, LocalCrashes>>,
+    /// The incarnation that crashed last, and the number of requests counted for that crash.
+    last_crash: Mutex<(u64, usize)>,
 }
 
-/// Crashes seen here of one fingerprint.
+/// Crashes observed by this agent while requests with one fingerprint were running.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
+struct LocalCrashes {
     crashes: u32,
     alone: u32,
-    /// The engine's incarnation that crashed last, so that one crash counts once.
+    /// The incarnation of the engine that crashed last, so that each crash is counted once.
     incarnation: u64,
 }
 
-/// How many of the requests that ran when an engine crashed are recorded. Engines read a prompt
-/// before they fail on it, so the culprit is among the latest; a batch of hundreds of bystanders
-/// would swamp the log.
+/// Most requests that are recorded for one crash. Engines prefill a prompt before they fail on it,
+/// so the request that caused the crash is among the latest, and records of a batch of hundreds of
+/// others would flood the log.
 const MAX_PER_CRASH: usize = 64;
 
-/// How many fingerprints are remembered here.
-const MAX_SEEN: usize = 4_096;
+/// Most fingerprints that are tracked locally.
+const MAX_FINGERPRINTS: usize = 4_096;
 
-/// How long a refusal waits for its record: a retry elsewhere must find it in the log. An outage
-/// must not hold the caller up for longer.
-const RECORD_TIME: Duration = Duration::from_secs(1);
+/// How long a refusal is delayed until its record is appended, so that a retry at another target
+/// finds it in the log. The limit keeps an outage of the log from delaying the caller further.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The log's records and what was seen here.
-struct View<'a> {
+/// The records in the log combined with the crashes observed locally.
+struct CombinedRecords<'a> {
     shared: &'a Shared,
 }
 
-impl CrashRecords for View<'_> {
+impl CrashRecords for CombinedRecords<'_> {
     fn history(&self, fingerprint: u64) -> CrashHistory {
-        let seen = self.shared.suspects.lock().get(&fingerprint).copied().unwrap_or_default();
+        let local = self.shared.suspects.lock().get(&fingerprint).copied().unwrap_or_default();
         let system = self.shared.system.borrow();
         let suspect = system.suspect(fingerprint);
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let crashes = suspect.map_or(0, |suspect| count(suspect.crashes().count()));
         let alone = suspect.map_or(0, |s| count(s.crashes().filter(|c| c.alone).count()));
         CrashHistory {
-            crashes: crashes.max(seen.crashes),
-            alone: alone.max(seen.alone),
+            crashes: crashes.max(local.crashes),
+            alone: alone.max(local.alone),
             running_alone: false,
         }
     }
 }
 
-/// How the request with this fingerprint may run; 0 stands for none.
+/// Returns how a request with this fingerprint may run. 0 means that it has no fingerprint.
 pub(crate) fn verdict(shared: &Shared, fingerprint: u64) -> Verdict {
     if fingerprint == 0 {
         return Verdict::Normal;
     }
-    Quarantine::default().decide(&View { shared }, fingerprint)
+    Quarantine::default().decide(&CombinedRecords { shared }, fingerprint)
 }
 
-/// Records that the request ran when the engine's `incarnation` crashed, and waits a bounded time
-/// for it to stand in the log.
-pub(crate) async fn accuse(shared: &Shared, fingerprint: u64, incarnation: u64, alone: bool) {
-    if fingerprint == 0 || !shared.suspects.note(fingerprint, incarnation, alone) {
+/// Records that the request was running when the engine's `incarnation` crashed, and waits up to
+/// [`RECORD_TIMEOUT`] for the append.
+pub(crate) async fn record_crash(shared: &Shared, fingerprint: u64, incarnation: u64, alone: bool) {
+    if fingerprint == 0 || !shared.suspects.count_crash(fingerprint, incarnation, alone) {
         return;
     }
     let suspicion = Suspicion {
@@ -85,7 +86,7 @@
     record(shared, suspicion).await;
 }
 
-/// Records that a suspect ran to its end.
+/// Records that a suspect completed.
 pub(crate) fn clear(shared: &Arc<Shared>, fingerprint: u64) {
     shared.suspects.lock().remove(&fingerprint);
     let suspicion = Suspicion {
@@ -96,14 +97,14 @@
     };
     let shared = shared.clone();
     let tasks = shared.tasks.clone();
-    tasks.job(async move { record(&shared, suspicion).await });
+    tasks.spawn_job(async move { record(&shared, suspicion).await });
 }
 
 async fn record(shared: &Shared, suspicion: Suspicion) {
     let fingerprint = suspicion.fingerprint;
-    // The appender puts all records of one crash into one append.
-    let appending = shared.appender.append(plat::SYSTEM_STREAM, Body::Suspicion(suspicion));
-    match tokio::time::timeout(RECORD_TIME, appending).await {
+    // The appender batches the records of one crash into a single append.
+    let append = shared.appender.append(plat::SYSTEM_STREAM, Body::Suspicion(suspicion));
+    match tokio::time::timeout(RECORD_TIMEOUT, append).await {
         Ok(Ok(_)) => {}
         Ok(Err(error)) => {
             log::warn!(fingerprint = fingerprint, error:% = error; "suspicion-not-recorded");
@@ -113,14 +114,14 @@
 }
 
 impl Suspects {
-    /// Notes a crash; tells whether it is to be recorded.
-    fn note(&self, fingerprint: u64, incarnation: u64, alone: bool) -> bool {
-        let known = self.lock().get(&fingerprint).copied().unwrap_or_default();
-        if known.crashes > 0 && known.incarnation == incarnation {
+    /// Counts a crash and returns whether it must be recorded in the log.
+    fn count_crash(&self, fingerprint: u64, incarnation: u64, alone: bool) -> bool {
+        let previous = self.lock().get(&fingerprint).copied().unwrap_or_default();
+        if previous.crashes > 0 && previous.incarnation == incarnation {
             return false;
         }
         {
-            let mut crash = self.crash.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut crash = self.last_crash.lock().unwrap_or_else(PoisonError::into_inner);
             if crash.0 != incarnation {
                 *crash = (incarnation, 0);
             }
@@ -129,17 +130,17 @@
                 return false;
             }
         }
-        let mut seen = self.lock();
-        if seen.len() < MAX_SEEN || seen.contains_key(&fingerprint) {
-            let known = seen.entry(fingerprint).or_default();
-            known.crashes += 1;
-            known.alone += u32::from(alone);
-            known.incarnation = incarnation;
+        let mut local = self.lock();
+        if local.len() < MAX_FINGERPRINTS || local.contains_key(&fingerprint) {
+            let counts = local.entry(fingerprint).or_default();
+            counts.crashes += 1;
+            counts.alone += u32::from(alone);
+            counts.incarnation = incarnation;
         }
         true
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<u64, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<u64, LocalCrashes>> {
+        self.by_fingerprint.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/agent/src/tasks.rs
+++ b/crates/agent/src/tasks.rs
@@ -1,4 +1,4 @@
-//! The tasks of one agent: a graceful stop waits for them, and the agent's end ends them.
+//! The tasks of one agent. A graceful stop waits for jobs; all tasks end with the agent.
 
 use std::future::Future;
 use tokio::task::JoinHandle;
@@ -8,13 +8,13 @@
 /// Spawns tasks that end with the agent.
 #[derive(Clone)]
 pub(crate) struct Tasks {
-    /// Those that a graceful stop waits for.
+    /// The tasks that a graceful stop waits for.
     jobs: TaskTracker,
     closing: CancellationToken,
 }
 
 impl Tasks {
-    /// Makes an empty set, and the guard that ends its tasks when dropped.
+    /// Creates an empty set, and a guard that ends its tasks when dropped.
     pub(crate) fn new() -> (Self, DropGuard) {
         let (jobs, closing) = (TaskTracker::new(), CancellationToken::new());
         let guard = closing.clone().drop_guard();
@@ -22,23 +22,23 @@
     }
 
     /// Spawns a task that a graceful stop waits for.
-    pub(crate) fn job(&self, job: impl Future<Output = ()> + Send + 'static) {
+    pub(crate) fn spawn_job(&self, job: impl Future<Output = ()> + Send + 'static) {
         let closing = self.closing.clone();
         self.jobs.spawn(async move {
             closing.run_until_cancelled(job).await;
         });
     }
 
-    /// Spawns a task that goes on until the agent ends.
-    pub(crate) fn duty(&self, duty: impl Future<Output = ()> + Send + 'static) -> JoinHandle<()> {
+    /// Spawns a task that runs until the agent ends.
+    pub(crate) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) -> JoinHandle<()> {
         let closing = self.closing.clone();
         tokio::spawn(async move {
-            closing.run_until_cancelled(duty).await;
+            closing.run_until_cancelled(task).await;
         })
     }
 
     /// Waits until all jobs have ended.
-    pub(crate) async fn finish(&self) {
+    pub(crate) async fn wait_for_jobs(&self) {
         self.jobs.close();
         self.jobs.wait().await;
     }
