--- a/crates/agent/examples/calls.rs
+++ b/crates/agent/examples/calls.rs
@@ -1,13 +1,14 @@
-//! Measures calls that may not be repeated: calls a second and latency against the log's delay.
+//! Measures calls that may not be repeated: calls per second and latency for several delays of the
+//! log.
 //!
 //! `cargo run --release -p agent --example calls` prints the table of `docs/MEASURED.md`. The clock
-//! is the paused one, so the figures are the same in each run and show waiting, not processor time.
+//! is paused, so the figures are the same in each run and show waiting times, not processor time.
 
 #[path = "../tests/common/mod.rs"]
 mod common;
 
 use bytes::Bytes;
-use common::World;
+use common::Harness;
 use conf::Kind;
 use fake::MemoryService;
 use serde_json::json;
@@ -16,8 +17,8 @@
 use tokio::time::Instant;
 use wire::{Body, Call, EventKind, Request, Submit, Work};
 
-/// How long each row is measured.
-const SPAN: Duration = Duration::from_secs(30);
+/// Duration of the measurement for each row.
+const DURATION: Duration = Duration::from_secs(30);
 
 fn main() {
     println!("| log delay | callers | calls/s | p50 | p99 | appends/s | records an append |");
@@ -28,62 +29,64 @@
                 .enable_all()
                 .start_paused(true)
                 .build()
-                .expect("a runtime can be built");
+                .expect("the runtime is built");
             println!("{}", runtime.block_on(row(Duration::from_millis(delay), callers)));
         }
     }
 }
 
 async fn row(delay: Duration, callers: usize) -> String {
-    let world = World::default();
+    let harness = Harness::default();
     let service = MemoryService::default();
     service.set_delay(Duration::from_millis(2));
     let spec = json!({
         "service": "ledger", "domain": "sofia-1", "agent": "ledger-1:1", "slots": 64,
     });
-    world.publish(Kind::Target, "ledger-1", spec).await;
-    let _agent = world.agent("ledger-1", agent::Backend::Service(Arc::new(service)));
+    harness.publish(Kind::Target, "ledger-1", spec).await;
+    let _agent = harness.agent("ledger-1", agent::Backend::Service(Arc::new(service)));
     tokio::time::sleep(Duration::from_secs(2)).await;
-    world.log.set_delay(delay);
+    harness.log.set_delay(delay);
     tokio::time::sleep(Duration::from_secs(5)).await;
-    let appends = world.log.appends();
-    let until = Instant::now() + SPAN;
+    let appends = harness.log.appends();
+    let end = Instant::now() + DURATION;
     let tasks: Vec<_> = (0..callers)
         .map(|caller| {
-            let network = world.network.clone();
+            let network = harness.network.clone();
             tokio::spawn(async move {
-                call_until(World { network, ..World::default() }, caller, until).await
+                call_until(Harness { network, ..Harness::default() }, caller, end).await
             })
         })
         .collect();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for task in tasks {
-        took.extend(task.await.expect("the caller ends"));
+        latencies.extend(task.await.expect("the caller does not panic"));
     }
-    took.sort_unstable();
-    let seconds = SPAN.as_secs();
-    let appends = world.log.appends() - appends;
-    let calls = took.len();
-    let at = |share: usize| took.get(calls * share / 100).copied().unwrap_or_default().as_millis();
+    latencies.sort_unstable();
+    let seconds = DURATION.as_secs();
+    let appends = harness.log.appends() - appends;
+    let calls = latencies.len();
+    let percentile = |percent: usize| {
+        latencies.get(calls * percent / 100).copied().unwrap_or_default().as_millis()
+    };
     let per_append = calls * 2 / usize::try_from(appends).unwrap_or(usize::MAX).max(1);
     format!(
         "| {} ms | {callers} | {} | {} ms | {} ms | {} | {per_append} |",
         delay.as_millis(),
         calls as u64 / seconds,
-        at(50),
-        at(99),
+        percentile(50),
+        percentile(99),
         appends / seconds,
     )
 }
 
-/// Sends calls one after the other, and returns how long each took.
-async fn call_until(world: World, caller: usize, until: Instant) -> Vec<Duration> {
-    let mut entry = world.entry(&format!("entry-{caller}"), "ledger-1").await;
-    let mut took = Vec::new();
+/// Sends calls one after the other and returns the latency of each.
+async fn call_until(harness: Harness, caller: usize, end: Instant) -> Vec<Duration> {
+    let mut entry = harness.entry(&format!("entry-{caller}"), "ledger-1").await;
+    let mut latencies = Vec::new();
     let mut attempt = 0;
-    while Instant::now() < until {
+    while Instant::now() < end {
         attempt += 1;
-        let began = Instant::now();
+        let started_at = Instant::now();
         let request = Request {
             id: format!("{caller}-{attempt}"),
             caller: "desk".into(),
@@ -103,11 +106,11 @@
         loop {
             let event = entry.event().await;
             match event.kind {
-                Some(EventKind::End(_)) => break took.push(began.elapsed()),
+                Some(EventKind::End(_)) => break latencies.push(started_at.elapsed()),
                 Some(EventKind::Refusal(refusal)) => panic!("refused: {refusal:?}"),
                 _ => {}
             }
         }
     }
-    took
+    latencies
 }
--- a/crates/agent/tests/calls.rs
+++ b/crates/agent/tests/calls.rs
@@ -1,9 +1,9 @@
-//! Calls that may not be repeated, at one target, through crashes and outages.
+//! Calls that may not be repeated: at one target, with crashes and outages.
 
 mod common;
 
 use bytes::Bytes;
-use common::{Entry, World, settle};
+use common::{Entry, Harness, settle};
 use conf::Kind;
 use fake::MemoryService;
 use serde_json::json;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use wire::{Body, Call, EventKind, Head, Progress, Refusal, Request, Submit, Work};
 
-/// What an entry gets for a call: its head and body, or the refusal.
+/// What an entry receives for a call: the head and body of its answer, or the refusal.
 #[derive(Debug)]
 enum Outcome {
     Answered(Head, String),
@@ -34,11 +34,11 @@
     }
 }
 
-async fn ledger(world: &World) -> (MemoryService, common::Agent) {
+async fn start_ledger(harness: &Harness) -> (MemoryService, common::Agent) {
     let service = MemoryService::default();
     let spec = json!({"service": "ledger", "domain": "sofia-1", "agent": "ledger-1:1"});
-    world.publish(Kind::Target, "ledger-1", spec).await;
-    let agent = world.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
+    harness.publish(Kind::Target, "ledger-1", spec).await;
+    let agent = harness.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
     tokio::time::sleep(Duration::from_secs(2)).await;
     (service, agent)
 }
@@ -66,8 +66,8 @@
 }
 
 async fn outcome(entry: &mut Entry, attempt: u64) -> Outcome {
-    let reading = tokio::time::timeout(common::BOUND, read_outcome(entry, attempt));
-    reading.await.expect("the attempt ends")
+    let reading = tokio::time::timeout(common::TIMEOUT, read_outcome(entry, attempt));
+    reading.await.expect("the attempt ends within the timeout")
 }
 
 async fn read_outcome(entry: &mut Entry, attempt: u64) -> Outcome {
@@ -77,7 +77,7 @@
         if event.attempt != attempt {
             continue;
         }
-        match event.kind.expect("an event has a kind") {
+        match event.kind.expect("every event has a kind") {
             EventKind::Head(found) => head = found,
             EventKind::Part(part) => body.push_str(&String::from_utf8_lossy(&part.bytes)),
             EventKind::End(_) => return Outcome::Answered(head, body),
@@ -92,146 +92,148 @@
     outcome(entry, attempt).await
 }
 
-fn total(service: &MemoryService) -> u32 {
+fn total_runs(service: &MemoryService) -> u32 {
     service.runs().values().sum()
 }
 
-// A caller whose answer was lost sends its transfer again. It must not move funds twice; it gets
-// the answer of the first run, and another caller's same key is another call.
+// A caller whose answer was lost retries its transfer. It must not move funds twice: the retry gets
+// the answer of the first run. The same key of another caller is a different call.
 #[tokio::test(start_paused = true)]
-async fn a_retry_gets_the_recorded_answer_and_no_second_run() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+async fn retry_gets_the_recorded_answer_without_a_second_run() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     let (head, first) = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.answered();
     assert_eq!((head.status, head.replayed), (200, false));
     tokio::time::sleep(Duration::from_secs(1)).await;
     let (head, again) = call(&mut entry, 2, transfer("r2", "desk", "t-1", "5")).await.answered();
     assert_eq!((head.status, head.replayed), (200, true));
     assert_eq!(again, first);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 
     let reused = call(&mut entry, 3, transfer("r3", "desk", "t-1", "7")).await.refused();
     assert_eq!((reused.reason.as_str(), reused.progress()), ("key-reused", Progress::NotRun));
     let (head, _) = call(&mut entry, 4, transfer("r4", "bank", "t-1", "7")).await.answered();
-    assert!(!head.replayed, "another caller's key is another key");
-    assert_eq!(total(&service), 2);
+    assert!(!head.replayed, "the key of another caller is a different key");
+    assert_eq!(total_runs(&service), 2);
 }
 
-// A client with a short timeout sends its transfer again through another entry while the first is
-// still running. Both get the one answer.
+// A client with a short timeout retries its transfer through another entry while the first attempt
+// is still running. The call runs once and both attempts get its answer.
 #[tokio::test(start_paused = true)]
-async fn the_same_key_through_two_entries_at_once_runs_once() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
+async fn same_key_through_two_entries_concurrently_runs_once() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
     service.set_delay(Duration::from_secs(1));
-    let mut one = world.entry("entry-1", "ledger-1").await;
-    let mut two = world.entry("entry-2", "ledger-1").await;
+    let mut one = harness.entry("entry-1", "ledger-1").await;
+    let mut two = harness.entry("entry-2", "ledger-1").await;
     send(&mut one, 1, transfer("r1", "desk", "t-1", "5")).await;
     send(&mut two, 1, transfer("r2", "desk", "t-1", "5")).await;
     let (_, first) = outcome(&mut one, 1).await.answered();
     let (_, second) = outcome(&mut two, 1).await.answered();
     assert_eq!(first, second);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
 
-// The agent is killed after the intent stands in the log and before the service answered. Nobody
-// can know whether funds moved, so every later retry is told so, and nothing runs again.
+// The agent is killed after the intent is in the log and before the service has answered. Whether
+// funds were moved cannot be determined, so every retry is refused with an unknown outcome and
+// nothing runs again.
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_agent_died_between_dispatch_and_outcome_stays_unknown() {
-    let world = World::default();
-    let (service, agent) = ledger(&world).await;
+async fn key_stays_unknown_after_an_agent_crash_between_dispatch_and_outcome() {
+    let harness = Harness::default();
+    let (service, agent) = start_ledger(&harness).await;
     service.set_delay(Duration::from_secs(60));
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     send(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await;
     settle().await;
-    assert_eq!(total(&service), 1, "it was dispatched");
+    assert_eq!(total_runs(&service), 1, "the call was dispatched");
     agent.kill();
     service.set_delay(Duration::ZERO);
-    let _again = world.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
+    let _successor = harness.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
     settle().await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     for attempt in 1..=3 {
         let retry = transfer(&format!("r{}", attempt + 1), "desk", "t-1", "5");
         let refusal = call(&mut entry, attempt, retry).await.refused();
         assert_eq!(refusal.progress(), Progress::Unknown, "{refusal:?}");
         tokio::time::sleep(Duration::from_secs(6)).await;
     }
-    assert_eq!(total(&service), 1);
-    // Other keys run again once the new agent holds the target.
+    assert_eq!(total_runs(&service), 1);
+    // Calls with other keys run once the new agent holds the claim.
     call(&mut entry, 9, transfer("r9", "desk", "t-9", "5")).await.answered();
 }
 
-// The agent is killed while its intent is on the way to the log, so the call was never dispatched.
-// The successor cannot know that: it must not run the key, and must not say that it never ran.
+// The agent is killed while its intent is being appended, so the call was never dispatched. The
+// successor cannot determine that: it must neither run the key nor report that it never ran.
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_agent_died_between_intent_and_dispatch_never_runs() {
-    let world = World::default();
-    let (service, agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
-    world.log.set_delay(Duration::from_millis(300));
-    world.log.lose_replies(1);
+async fn key_never_runs_after_an_agent_crash_between_intent_and_dispatch() {
+    let harness = Harness::default();
+    let (service, agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
+    harness.log.set_delay(Duration::from_millis(300));
+    harness.log.lose_replies(1);
     send(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await;
-    // The intent stands in the log by now; its reply is lost, and settling it takes another read.
+    // The intent is in the log, but its reply is lost, and the agent has yet to read the log for
+    // it.
     tokio::time::sleep(Duration::from_millis(350)).await;
     agent.kill();
-    assert_eq!(total(&service), 0);
-    world.log.set_delay(Duration::ZERO);
-    let _again = world.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
+    assert_eq!(total_runs(&service), 0);
+    harness.log.set_delay(Duration::ZERO);
+    let _successor = harness.agent("ledger-1", agent::Backend::Service(Arc::new(service.clone())));
     tokio::time::sleep(Duration::from_secs(10)).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     let refusal = call(&mut entry, 1, transfer("r2", "desk", "t-1", "5")).await.refused();
     assert_eq!(
         (refusal.reason.as_str(), refusal.progress()),
         ("outcome-unknown", Progress::Unknown)
     );
-    assert_eq!(total(&service), 0);
+    assert_eq!(total_runs(&service), 0);
 }
 
-// The reply to the intent's append is lost after the write. The agent settles it by reading and
-// goes on: the transfer runs once.
+// The reply to the append of the intent is lost after the write. The agent finds the intent by
+// reading the log and continues: the transfer runs once.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_to_the_intent_is_settled_by_reading() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
-    world.log.lose_replies(1);
+async fn lost_reply_to_the_intent_is_resolved_by_reading_the_log() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
+    harness.log.lose_replies(1);
     let (head, _) = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.answered();
     assert!(!head.replayed);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
 
-// The log is out. A transfer is refused at once, truthfully as not run, and it must not run later
-// when the log is back; the caller's own retry then does.
+// The log is unavailable. A transfer is refused at once as not run, and it must not run later when
+// the log is available again. A retry of the caller then runs it.
 #[tokio::test(start_paused = true)]
-async fn while_the_log_is_out_nothing_is_begun_and_nothing_runs_later() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
-    world.log.set_out(true);
+async fn calls_during_a_log_outage_are_refused_and_never_run_later() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
+    harness.log.set_out(true);
     let refusal = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.reason, "log-unavailable");
     assert_eq!(refusal.progress(), Progress::NotRun);
     assert!(refusal.retry_after_ms > 0);
     tokio::time::sleep(Duration::from_secs(3_600)).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     let refusal = call(&mut entry, 2, transfer("r2", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.progress(), Progress::NotRun);
-    world.log.set_out(false);
+    harness.log.set_out(false);
     tokio::time::sleep(Duration::from_secs(20)).await;
-    assert_eq!(total(&service), 0);
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    assert_eq!(total_runs(&service), 0);
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     call(&mut entry, 3, transfer("r3", "desk", "t-1", "5")).await.answered();
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
 
-// The service's VM is down: the connection is refused, so nothing ran. The caller is told so, and
-// its key is free for another try.
+// The service's VM is down and refuses the connection, so the call has not run. The refusal reports
+// that, and a retry with the same key runs the call.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_never_reached_the_service_frees_its_key() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+async fn call_that_never_reached_the_service_releases_its_key() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     service.set_down(true);
     let refusal = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.refused();
     assert_eq!((refusal.reason.as_str(), refusal.progress()), ("target-down", Progress::NotRun));
@@ -239,40 +241,40 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let (head, _) = call(&mut entry, 2, transfer("r2", "desk", "t-1", "5")).await.answered();
     assert!(!head.replayed);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
 
-// The service breaks off after it ran. Its caller and every retry are told that the outcome is
-// unknown.
+// The service closes the connection after it has run the call. The caller and every retry get a
+// refusal with an unknown outcome.
 #[tokio::test(start_paused = true)]
-async fn a_call_whose_reply_was_lost_is_unknown_and_not_run_again() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+async fn call_with_a_lost_reply_is_unknown_and_not_run_again() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     service.lose_replies(1);
     let refusal = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.progress(), Progress::Unknown);
     tokio::time::sleep(Duration::from_secs(1)).await;
     let refusal = call(&mut entry, 2, transfer("r2", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.progress(), Progress::Unknown);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
 
-// A caller hangs up while its transfer runs. The run goes on, its answer is recorded, and the
-// caller's retry gets it.
+// A caller hangs up while its transfer runs. The run continues, its answer is recorded, and a retry
+// of the caller gets that answer.
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_hangs_up_finds_its_answer_later() {
-    let world = World::default();
-    let (service, _agent) = ledger(&world).await;
+async fn answer_is_recorded_after_the_caller_hangs_up() {
+    let harness = Harness::default();
+    let (service, _agent) = start_ledger(&harness).await;
     service.set_delay(Duration::from_secs(2));
-    let mut entry = world.entry("entry-1", "ledger-1").await;
+    let mut entry = harness.entry("entry-1", "ledger-1").await;
     send(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await;
     settle().await;
     entry.cancel(1).await;
     drop(entry);
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let mut entry = world.entry("entry-2", "ledger-1").await;
+    let mut entry = harness.entry("entry-2", "ledger-1").await;
     let (head, _) = call(&mut entry, 1, transfer("r2", "desk", "t-1", "5")).await.answered();
     assert!(head.replayed);
-    assert_eq!(total(&service), 1);
+    assert_eq!(total_runs(&service), 1);
 }
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An agent between a stand-in target and an entry that the test plays frame by frame.
+//! Runs agents with fake targets, and acts as an entry that exchanges single frames with them.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
@@ -19,14 +19,14 @@
 };
 
 pub const MODEL: &str = "lapis-small";
-/// Longer than anything that a test waits for, by the paused clock.
-pub const BOUND: Duration = Duration::from_secs(600);
+/// Longer than any wait of a test, in time of the paused clock.
+pub const TIMEOUT: Duration = Duration::from_secs(600);
 
-const KEY: &str = "test";
+const PEER_KEY: &str = "test";
 
-/// A log, a network, and the agents that a test starts.
+/// The in-memory log and network that the agents of a test use.
 #[derive(Default)]
-pub struct World {
+pub struct Harness {
     pub log: MemoryLog,
     pub network: Memory,
 }
@@ -42,7 +42,7 @@
     pub connection: Connection,
 }
 
-impl World {
+impl Harness {
     pub async fn publish(&self, kind: Kind, name: &str, spec: Value) {
         let appender = Appender::new(Arc::new(self.log.clone()), "operator".into());
         let change = Change {
@@ -55,7 +55,7 @@
         appended.await.expect("the log is up");
     }
 
-    /// An engine with `slots` slots, its resource and its agent, ready for work.
+    /// Starts an engine with `slots` slots and its agent, and publishes its resource.
     pub async fn engine(&self, name: &str, slots: u32) -> (MemoryEngine, Agent) {
         let model = EngineModel { slots, ..EngineModel::default() };
         let engine = MemoryEngine::new(model, &[MODEL]);
@@ -70,7 +70,7 @@
         self.start(name, &format!("{name}:1"), Arc::new(self.log.clone()), backend)
     }
 
-    /// An agent of the target `name` that listens at `address` and sees `log`.
+    /// Starts an agent of the target `name` that listens at `address` and uses `log`.
     pub fn start(
         &self,
         name: &str,
@@ -81,7 +81,7 @@
         let settings = settings::Agent {
             name: format_compact!("agent-{name}"),
             target: name.into(),
-            peer_key: KEY.into(),
+            peer_key: PEER_KEY.into(),
             metrics: Default::default(),
             ..settings::Agent::default()
         };
@@ -95,28 +95,29 @@
             stop: stop.clone(),
         };
         let task = tokio::spawn(async move {
-            agent::Daemon::new(context).run().await.expect("the agent ends well");
+            agent::Daemon::new(context).run().await.expect("the agent stops without error");
         });
         Agent { stop, task }
     }
 
     pub async fn entry(&self, name: &str, target: &str) -> Entry {
         let address = format_compact!("{target}:1");
-        let pipe = self.network.at(name).dial(&address).await.expect("the agent listens");
+        let pipe =
+            self.network.at(name).dial(&address).await.expect("the agent accepts connections");
         let mut connection = Connection::new(pipe, address);
         let hello = Hello::new(&name.into(), 1, [7; 16]);
-        let key = Key::new(Bytes::from_static(KEY.as_bytes()));
-        wire::connect(&mut connection, &key, hello).await.expect("the key is right");
+        let key = Key::new(Bytes::from_static(PEER_KEY.as_bytes()));
+        wire::connect(&mut connection, &key, hello).await.expect("the agent accepts the key");
         Entry { connection }
     }
 }
 
-/// The Target resource of an engine.
+/// Returns the Target resource of an engine.
 pub fn engine_spec(name: &str, slots: u32) -> Value {
     json!({"models": [MODEL], "domain": "sofia-1", "agent": format!("{name}:1"), "slots": slots})
 }
 
-/// Lets everything that is ready run.
+/// Waits until all tasks that are ready have run.
 pub async fn settle() {
     tokio::time::sleep(Duration::from_millis(5)).await;
 }
@@ -126,12 +127,12 @@
         self.task.abort();
     }
 
-    pub async fn ended(self) {
+    pub async fn join(self) {
         let _ = self.task.await;
     }
 }
 
-/// A prompt of `caller` whose answer has `tokens` tokens.
+/// Returns a prompt of `caller` whose answer has `tokens` tokens.
 pub fn prompt(id: &str, caller: &str, tokens: u32) -> Request {
     Request {
         id: id.into(),
@@ -152,7 +153,7 @@
 
 impl Entry {
     pub async fn send(&mut self, body: Body) {
-        self.connection.send(Frame::new(body)).await.expect("the agent reads");
+        self.connection.send(Frame::new(body)).await.expect("the connection is open");
     }
 
     pub async fn submit(&mut self, attempt: u64, request: Request, credit: u32) {
@@ -183,11 +184,12 @@
         self.send(Body::Attach(attach)).await;
     }
 
-    /// The next event of any attempt; pings are answered meanwhile.
+    /// Returns the next event of any attempt, and answers pings until then.
     pub async fn event(&mut self) -> Event {
         loop {
-            let frame = tokio::time::timeout(BOUND, self.connection.expect("event")).await;
-            let frame = frame.expect("an event comes").expect("the connection stands");
+            let frame = tokio::time::timeout(TIMEOUT, self.connection.expect("event")).await;
+            let frame =
+                frame.expect("an event within the timeout").expect("the connection is open");
             match frame.body {
                 Some(Body::Event(event)) => return event,
                 Some(Body::Ping(ping)) => {
@@ -199,15 +201,16 @@
         }
     }
 
-    /// The next event of any attempt, unless none comes for a while.
-    pub async fn quiet(&mut self, time: Duration) -> Option<Event> {
+    /// Returns the next event of any attempt, or `None` if there is none within `time`.
+    pub async fn event_within(&mut self, time: Duration) -> Option<Event> {
         tokio::time::timeout(time, self.event()).await.ok()
     }
 
-    /// Reads one attempt to its end: its text, its tokens, and the refusal if it was refused.
+    /// Reads one attempt to its end. Returns its text, its tokens, and the refusal if it was
+    /// refused.
     pub async fn finish(&mut self, attempt: u64) -> (String, u32, Option<Refusal>) {
-        let finished = tokio::time::timeout(BOUND, self.read_to_end(attempt)).await;
-        finished.expect("the attempt ends")
+        let finished = tokio::time::timeout(TIMEOUT, self.read_to_end(attempt)).await;
+        finished.expect("the attempt ends within the timeout")
     }
 
     async fn read_to_end(&mut self, attempt: u64) -> (String, u32, Option<Refusal>) {
@@ -217,7 +220,7 @@
             if event.attempt != attempt {
                 continue;
             }
-            match event.kind.expect("an event has a kind") {
+            match event.kind.expect("every event has a kind") {
                 EventKind::Delta(delta) => {
                     text.push_str(&delta.text);
                     tokens = delta.from_token + delta.tokens;
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -1,8 +1,8 @@
-//! Orders at the agent, and engines that crash.
+//! Orders that an agent executes, and engines that crash.
 
 mod common;
 
-use common::{MODEL, World, prompt, settle};
+use common::{Harness, MODEL, prompt, settle};
 use conf::Kind;
 use conf::resource::Role;
 use fake::{EngineModel, MemoryEngine};
@@ -14,18 +14,18 @@
 use target::{Engine, Order as EngineOrder};
 use wire::Request;
 
-/// Another pool than the engines', for which nobody else plans.
+/// A pool other than that of the engines, which has no other planner.
 const SCOPE: &str = "planner/test";
 
-/// A planner that holds its claim and gives orders.
+/// A planner that holds its claim and appends orders.
 struct Planner {
     appender: Appender,
     claim: u64,
 }
 
 impl Planner {
-    async fn new(world: &World) -> Self {
-        let appender = Appender::new(Arc::new(world.log.clone()), "planner-1".into());
+    async fn new(harness: &Harness) -> Self {
+        let appender = Appender::new(Arc::new(harness.log.clone()), "planner-1".into());
         let claim =
             Claim { scope: SCOPE.into(), supersedes: None, incarnation: 1, lease_ms: 5_000 };
         let claim = appender.append(plat::SYSTEM_STREAM, Body::Claim(claim)).await;
@@ -48,9 +48,9 @@
     engine.status().await.expect("the engine is up").role
 }
 
-/// The outcome of an order as a reader of the log finds it: none while it is open.
-async fn outcome(world: &World, order: u64) -> Option<String> {
-    let log = Arc::new(world.log.clone());
+/// Returns the outcome of an order according to the log, or `None` while it is open.
+async fn outcome(harness: &Harness, order: u64) -> Option<String> {
+    let log = Arc::new(harness.log.clone());
     let follower = state::Follower::<state::System>::new(log, plat::SYSTEM_STREAM.into());
     let system = follower.state();
     let following = tokio::spawn(follower.run());
@@ -60,14 +60,14 @@
     outcome.map(|outcome| outcome.failure.to_string())
 }
 
-// The planner changes an engine's role while it streams. The stream must end whole before the
-// engine leaves service, and the order must take effect once.
+// The planner changes an engine's role while a stream runs. The stream must be completed before the
+// role changes, and the order must be sent once.
 #[tokio::test(start_paused = true)]
-async fn a_role_change_lets_running_streams_finish_first() {
-    let world = World::default();
-    let (engine, _agent) = world.engine("engine-1", 4).await;
-    let planner = Planner::new(&world).await;
-    let mut entry = world.entry("entry-1", "engine-1").await;
+async fn role_change_waits_for_running_streams() {
+    let harness = Harness::default();
+    let (engine, _agent) = harness.engine("engine-1", 4).await;
+    let planner = Planner::new(&harness).await;
+    let mut entry = harness.entry("entry-1", "engine-1").await;
     entry.submit(1, prompt("r1", "desk", 1_000), 10_000).await;
     settle().await;
     let order = planner.order("engine-1", "prefill").await;
@@ -77,22 +77,22 @@
     assert_eq!(role(&engine).await, Role::Prefill);
     assert_eq!(engine.orders(), [(order, EngineOrder::SetRole { role: Role::Prefill })]);
     assert_eq!(engine.conflicts(), 0);
-    assert_eq!(outcome(&world, order).await.as_deref(), Some(""));
+    assert_eq!(outcome(&harness, order).await.as_deref(), Some(""));
 }
 
-// A stream outlasts the time that a role change waits. It is told to go on elsewhere, with its KV
-// cache kept here, instead of being cut without a word.
+// A stream takes longer than a role change waits. It must end with a refusal, so that it continues
+// at another target, with its KV cache retained here, instead of being cut off.
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_outlasts_the_drain_is_told_to_move() {
-    let world = World::default();
-    let (engine, _agent) = world.engine("engine-1", 4).await;
-    let planner = Planner::new(&world).await;
-    let mut entry = world.entry("entry-1", "engine-1").await;
+async fn stream_that_exceeds_the_drain_timeout_is_migrated() {
+    let harness = Harness::default();
+    let (engine, _agent) = harness.engine("engine-1", 4).await;
+    let planner = Planner::new(&harness).await;
+    let mut entry = harness.entry("entry-1", "engine-1").await;
     entry.submit(1, prompt("r1", "desk", 30_000), 100_000).await;
     settle().await;
     planner.order("engine-1", "prefill").await;
     let (_, tokens, refusal) = entry.finish(1).await;
-    let refusal = refusal.expect("it moves");
+    let refusal = refusal.expect("the stream is migrated");
     assert_eq!(
         (refusal.reason.as_str(), refusal.progress()),
         ("draining", wire::Progress::Started)
@@ -102,60 +102,65 @@
     assert_eq!(role(&engine).await, Role::Prefill);
 }
 
-// The engine crashes in the middle of a role change, and comes back in its old role. The agent
-// must not believe that the order took effect, and must carry it out again.
+// The engine crashes during a role change and restarts in its old role. The agent must not report
+// the order as successful and must send it again.
 #[tokio::test(start_paused = true)]
-async fn an_engine_that_crashes_during_a_role_change_ends_in_the_ordered_role() {
-    let world = World::default();
-    let (engine, _agent) = world.engine("engine-1", 4).await;
-    let planner = Planner::new(&world).await;
+async fn engine_that_crashes_during_a_role_change_ends_in_the_ordered_role() {
+    let harness = Harness::default();
+    let (engine, _agent) = harness.engine("engine-1", 4).await;
+    let planner = Planner::new(&harness).await;
     let order = planner.order("engine-1", "decode").await;
     tokio::time::sleep(Duration::from_secs(28)).await;
     if engine.orders().is_empty() {
-        // The claim on the target took its time; the change has just begun.
+        // The change starts only once the agent has its claim on the target, so it has just
+        // started.
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     let second = planner.order("engine-1", "prefill").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert!(engine.status().await.expect("up").busy, "the change is under way");
+    assert!(engine.status().await.expect("up").busy, "the change is in progress");
     engine.crash();
     tokio::time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(outcome(&world, second).await, None, "nothing is claimed while the engine is down");
+    assert_eq!(
+        outcome(&harness, second).await,
+        None,
+        "no outcome is reported while the engine is down"
+    );
     engine.start();
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(role(&engine).await, Role::Prefill);
-    assert_eq!(outcome(&world, order).await.as_deref(), Some(""));
-    assert_eq!(outcome(&world, second).await.as_deref(), Some(""));
+    assert_eq!(outcome(&harness, order).await.as_deref(), Some(""));
+    assert_eq!(outcome(&harness, second).await.as_deref(), Some(""));
     assert_eq!(engine.conflicts(), 0);
 }
 
-// The agent is killed in the middle of a role change and starts again. It must wait for the change
-// under way instead of giving a second order beside it, and then report what the engine really is.
+// The agent is killed during a role change and restarts. It must wait for the change in progress
+// instead of sending a second order, and then report the engine's actual state.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_restarts_during_a_role_change_gives_no_second_order() {
-    let world = World::default();
+async fn agent_that_restarts_during_a_role_change_sends_no_second_order() {
+    let harness = Harness::default();
     let model = EngineModel { role_change: Duration::from_secs(120), ..EngineModel::default() };
     let engine = MemoryEngine::new(model, &[MODEL]);
-    world.publish(Kind::Model, MODEL, json!({})).await;
+    harness.publish(Kind::Model, MODEL, json!({})).await;
     let mut spec = common::engine_spec("engine-1", 4);
     spec["checks_fencing"] = true.into();
-    world.publish(Kind::Target, "engine-1", spec).await;
+    harness.publish(Kind::Target, "engine-1", spec).await;
     let backend = || agent::Backend::Engine(Arc::new(Detached(engine.clone())));
-    let first = world.agent("engine-1", backend());
+    let first = harness.agent("engine-1", backend());
     settle().await;
-    let planner = Planner::new(&world).await;
+    let planner = Planner::new(&harness).await;
     let order = planner.order("engine-1", "decode").await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(engine.status().await.expect("up").busy);
     first.kill();
-    let _second = world.agent("engine-1", backend());
+    let _second = harness.agent("engine-1", backend());
     tokio::time::sleep(Duration::from_secs(130)).await;
     assert_eq!(engine.conflicts(), 0);
     assert_eq!(engine.orders().len(), 1);
-    assert_eq!(outcome(&world, order).await.as_deref(), Some(""));
+    assert_eq!(outcome(&harness, order).await.as_deref(), Some(""));
 }
 
-/// An engine that goes on with an order whose sender has gone, as a real one does.
+/// An engine that completes an order after its sender has disconnected, as real engines do.
 struct Detached(MemoryEngine);
 
 #[async_trait::async_trait]
@@ -168,7 +173,9 @@
     }
     async fn order(&self, fence: u64, order: &EngineOrder) -> target::Result<()> {
         let (engine, order) = (self.0.clone(), order.clone());
-        tokio::spawn(async move { engine.order(fence, &order).await }).await.expect("it ends")
+        tokio::spawn(async move { engine.order(fence, &order).await })
+            .await
+            .expect("the order does not panic")
     }
     async fn status(&self) -> target::Result<target::Status> {
         self.0.status().await
@@ -181,17 +188,17 @@
     }
 }
 
-// A VM is replaced by one of the same name while the old one is only cut off from the log. Its
-// engine ignores fencing numbers. An order that the new agent gets must not be carried out by the
-// old one too when it comes back, and the old one must not act on its lapsed claim.
+// A VM is replaced by one of the same name while the old agent still runs. The engine ignores
+// fencing tokens. An order must be executed by one of the agents only, and an agent must not act on
+// an expired claim.
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_lost_its_claim_gives_no_orders() {
-    let world = World::default();
-    let (engine, _old) = world.engine("engine-1", 4).await;
+async fn agent_without_claim_sends_no_orders() {
+    let harness = Harness::default();
+    let (engine, _old) = harness.engine("engine-1", 4).await;
     engine.change(|model| model.checks_fencing = false);
     tokio::time::sleep(Duration::from_secs(60)).await;
-    let _new = world.agent("engine-1", agent::Backend::Engine(Arc::new(engine.clone())));
-    let planner = Planner::new(&world).await;
+    let _new = harness.agent("engine-1", agent::Backend::Engine(Arc::new(engine.clone())));
+    let planner = Planner::new(&harness).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let order = planner.order("engine-1", "decode").await;
     tokio::time::sleep(Duration::from_secs(120)).await;
@@ -199,31 +206,31 @@
     assert_eq!(engine.conflicts(), 0);
 }
 
-// Two orders for the same engine wait; the older one is pointless by now. One change instead of
-// two saves seconds out of service, and both must be closed in the log.
+// Two orders for the same engine are open, and the later one supersedes the first. One change
+// instead of two saves seconds out of service, and both orders must be closed in the log.
 #[tokio::test(start_paused = true)]
-async fn an_order_that_a_later_one_replaces_is_skipped() {
-    let world = World::default();
-    let planner = Planner::new(&world).await;
+async fn superseded_order_is_skipped() {
+    let harness = Harness::default();
+    let planner = Planner::new(&harness).await;
     let first = planner.order("engine-1", "prefill").await;
     let second = planner.order("engine-1", "decode").await;
-    let (engine, _agent) = world.engine("engine-1", 4).await;
+    let (engine, _agent) = harness.engine("engine-1", 4).await;
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(engine.orders(), [(second, EngineOrder::SetRole { role: Role::Decode })]);
     let expected = format!("superseded by order {second}");
-    assert_eq!(outcome(&world, first).await, Some(expected));
-    assert_eq!(outcome(&world, second).await.as_deref(), Some(""));
+    assert_eq!(outcome(&harness, first).await, Some(expected));
+    assert_eq!(outcome(&harness, second).await.as_deref(), Some(""));
 }
 
-// One request crashes each engine that runs it, and its caller sends it again and again, to any
-// engine. It may take down two engines, and the requests that ran beside it must not be refused.
+// A request crashes every engine that runs it, and its caller keeps retrying it at any engine. It
+// may take down two engines, and requests that ran at the same time must not be refused.
 #[tokio::test(start_paused = true)]
-async fn a_poison_request_takes_down_two_engines_at_most() {
-    let world = World::default();
+async fn crashing_request_takes_down_at_most_two_engines() {
+    let harness = Harness::default();
     let mut engines = Vec::new();
     let mut agents = Vec::new();
     for number in 1..=3 {
-        let (engine, agent) = world.engine(&format!("engine-{number}"), 4).await;
+        let (engine, agent) = harness.engine(&format!("engine-{number}"), 4).await;
         engine.change(|model| model.crash_on = Some("poison".into()));
         engines.push(engine);
         agents.push(agent);
@@ -234,12 +241,12 @@
     let mut refused = 0;
     for round in 0..9 {
         let target = format!("engine-{}", round % 3 + 1);
-        let mut entry = world.entry("entry-1", &target).await;
+        let mut entry = harness.entry("entry-1", &target).await;
         entry.submit(1, bystander.clone(), 1_000).await;
         settle().await;
-        entry.submit(2, poison(), 1_000).await;
+        entry.submit(2, crashing_request(), 1_000).await;
         let (_, _, refusal) = entry.finish(2).await;
-        match refusal.expect("it never ends well").reason.as_str() {
+        match refusal.expect("the request is never answered").reason.as_str() {
             "quarantined" => refused += 1,
             "target-broken" => {
                 crashes += 1;
@@ -251,13 +258,13 @@
     }
     assert_eq!((crashes, refused), (2, 7));
 
-    let mut entry = world.entry("entry-1", "engine-3").await;
+    let mut entry = harness.entry("entry-1", "engine-3").await;
     entry.submit(3, bystander, 1_000).await;
     let (_, tokens, refusal) = entry.finish(3).await;
-    assert_eq!((tokens, refusal), (200, None), "the innocent one is served");
+    assert_eq!((tokens, refusal), (200, None), "the other request is served");
 }
 
-fn poison() -> Request {
+fn crashing_request() -> Request {
     let mut request = prompt("poison", "tiles", 50);
     request.fingerprint = 666;
     if let Some(wire::Work::Prompt(prompt)) = &mut request.work {
