--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -208,7 +208,7 @@
                 while entry.processes().0.iter().filter(|(_, heard)| heard.is_some()).count()
                     < self.targets.len()
                 {
-                    entry.hear_all(PATIENCE).await;
+                    entry.connect_all_agents(PATIENCE).await;
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             });
--- a/crates/cli/src/operators.rs
+++ b/crates/cli/src/operators.rs
@@ -24,7 +24,7 @@
 #[async_trait]
 impl admin::Fleet for Fleet {
     async fn processes(&self) -> Vec<Process> {
-        self.entry.hear_all(HEAR_PATIENCE).await;
+        self.entry.connect_all_agents(HEAR_PATIENCE).await;
         let (agents, entries) = self.entry.processes();
         let agents = agents.into_iter().map(|(name, heard)| process(Sort::Agent, name, heard));
         let entries = entries.into_iter();
@@ -54,7 +54,7 @@
     }
 }
 
-fn process(sort: Sort, name: CompactString, heard: Option<entry::Process>) -> Process {
+fn process(sort: Sort, name: CompactString, heard: Option<entry::ProcessStatus>) -> Process {
     let (config_offset, age) = match &heard {
         Some(heard) => (Some(heard.config_offset), Some(heard.age)),
         None => (None, None),
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::peers::{Link, Peers};
-use crate::processes::Process;
+use crate::processes::ProcessStatus;
 use crate::random::Random;
 use crate::routes;
 use crate::view::View;
@@ -128,7 +128,7 @@
 
     /// What the other processes last said of themselves: the agents of all configured targets,
     /// `None` for those that were not heard, and the entries heard of lately.
-    pub fn processes(&self) -> (Vec<(Name, Option<Process>)>, Vec<Process>) {
+    pub fn processes(&self) -> (Vec<(Name, Option<ProcessStatus>)>, Vec<ProcessStatus>) {
         let link = self.shared.peers.link();
         let view = self.shared.view.borrow().clone();
         let agents = view.targets().map(|site| {
@@ -141,7 +141,7 @@
 
     /// Connects to the agents outside the entry's subset, so that they are heard too; an agent
     /// that is connected already costs nothing.
-    pub async fn hear_all(&self, patience: Duration) {
+    pub async fn connect_all_agents(&self, patience: Duration) {
         let view = self.shared.view.borrow().clone();
         let sites = view.targets().map(|site| site.peer.session(patience));
         futures_util::future::join_all(sites).await;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`Context`]: what the entry sees of the world, which tests replace.
 //! - [`Entry`]: the entry without a socket for callers.
 //! - [`Daemon`]: the process itself.
-//! - [`Process`]: how far another process has applied the configuration.
+//! - [`ProcessStatus`]: how far another process has applied the configuration.
 //! - [`Reason`] and [`Run`]: what callers are told of requests that get no answer.
 //! - [`Explanation`]: where a request was sent and why.
 
@@ -49,5 +49,5 @@
 pub use error::{Error, Result};
 pub use explain::{Explanation, Report, Step};
 pub use outcome::Run;
-pub use processes::Process;
+pub use processes::ProcessStatus;
 pub use reason::Reason;
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -13,7 +13,7 @@
 
 /// What another process last said of itself.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Process {
+pub struct ProcessStatus {
     /// The entry's name, or the name of the target that the agent stands beside.
     pub name: CompactString,
     /// The offset up to which it has applied the `config` stream.
@@ -63,10 +63,10 @@
     }
 
     /// What the agent at an address last said.
-    pub(crate) fn agent(&self, target: &str, address: &CompactString) -> Option<Process> {
+    pub(crate) fn agent(&self, target: &str, address: &CompactString) -> Option<ProcessStatus> {
         let agents = self.agents();
         let (load, at) = agents.get(address)?;
-        Some(Process {
+        Some(ProcessStatus {
             name: target.into(),
             config_offset: load.config_offset,
             age: at.elapsed(),
@@ -75,10 +75,10 @@
     }
 
     /// The entries that were heard of lately.
-    pub(crate) fn entries_heard(&self) -> Vec<Process> {
+    pub(crate) fn entries_heard(&self) -> Vec<ProcessStatus> {
         let mut entries = self.entries();
         entries.retain(|_, (_, at)| at.elapsed() < ENTRY_SILENCE);
-        let heard = entries.iter().map(|(name, (offset, at))| Process {
+        let heard = entries.iter().map(|(name, (offset, at))| ProcessStatus {
             name: name.clone(),
             config_offset: *offset,
             age: at.elapsed(),
