--- /dev/null
+++ b/crates/entry/src/agent_queries.rs
@@ -0,0 +1,37 @@
+//! Questions to agents outside any attempt.
+
+use crate::daemon::Shared;
+use crate::explain::AgentReport;
+use bytes::Bytes;
+use compact_str::CompactString;
+use std::time::Duration;
+use wire::AskKind;
+
+/// How long a question to one agent may take.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl Shared {
+    /// What the agents of `targets` say of a request; those that do not answer are left out.
+    pub(crate) async fn collect_reports(
+        &self,
+        request: &str,
+        targets: &[CompactString],
+    ) -> Vec<AgentReport> {
+        let mut reports = Vec::new();
+        for target in targets {
+            let body = Bytes::copy_from_slice(request.as_bytes());
+            if let Some(reply) = self.query_agent(target, AskKind::Explain, body).await {
+                let text = String::from_utf8_lossy(&reply).into_owned();
+                reports.push(AgentReport { target: target.clone(), text });
+            }
+        }
+        reports
+    }
+
+    async fn query_agent(&self, target: &str, kind: AskKind, body: Bytes) -> Option<Bytes> {
+        let target = self.view.borrow().target(target)?.clone();
+        let session = target.peer.session(QUERY_TIMEOUT).await?;
+        let reply = tokio::time::timeout(QUERY_TIMEOUT, session.ask(kind, body)).await;
+        reply.ok()?.filter(|reply| !reply.is_empty())
+    }
+}
--- a/crates/entry/src/attempt.rs
+++ b/crates/entry/src/attempt.rs
@@ -20,7 +20,7 @@
     begun: bool,
     ended: bool,
     /// Events taken since the agent was last given credit.
-    taken: u32,
+    uncredited: u32,
 }
 
 /// After how many events the agent is given credit for as many more.
@@ -36,7 +36,7 @@
         inbox: Arc<Inbox>,
         begun: bool,
     ) -> Self {
-        Self { id, target, events, outbox, inbox, begun, ended: false, taken: 0 }
+        Self { id, target, events, outbox, inbox, begun, ended: false, uncredited: 0 }
     }
 
     /// The target at which it runs.
@@ -49,7 +49,7 @@
         let kind = self.events.recv().await?;
         self.ended = matches!(kind, EventKind::End(_) | EventKind::Refusal(_));
         if !self.ended {
-            self.give_credit();
+            self.grant_credit();
         }
         Some(kind)
     }
@@ -66,22 +66,22 @@
         if self.begun { Progress::Unknown } else { Progress::NotRun }
     }
 
-    fn give_credit(&mut self) {
-        self.taken += 1;
-        if self.taken < CREDIT_STEP {
+    fn grant_credit(&mut self) {
+        self.uncredited += 1;
+        if self.uncredited < CREDIT_STEP {
             return;
         }
-        let credit = Credit { attempt: self.id, events: self.taken };
+        let credit = Credit { attempt: self.id, events: self.uncredited };
         // If the queue is full, the credit stays owed and goes with the next event.
         if self.outbox.try_send(Frame::new(Body::Credit(credit))).is_ok() {
-            self.taken = 0;
+            self.uncredited = 0;
         }
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
-        self.inbox.forget(self.id);
+        self.inbox.remove(self.id);
         if self.ended {
             return;
         }
--- a/crates/entry/src/bootstrap.rs
+++ b/crates/entry/src/bootstrap.rs
@@ -14,17 +14,17 @@
 use wire::AskKind;
 
 /// How long to wait for one agent.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How often agents are asked while the log gives nothing.
 const INTERVAL: Duration = Duration::from_millis(500);
 
 /// The state counts as current if the log showed it to be complete this recently; a read waits up
 /// to two seconds for news.
-const FRESH: Duration = Duration::from_secs(10);
+const MAX_STATE_AGE: Duration = Duration::from_secs(10);
 
 /// How many agents are asked at a time.
-const ASKED: usize = 4;
+const MAX_AGENTS: usize = 4;
 
 /// What takes the states of agents in.
 pub(crate) struct Bootstrap {
@@ -39,44 +39,44 @@
 impl Bootstrap {
     /// Asks agents until the task is dropped, as long as the log does not show the state.
     pub(crate) async fn run(self) {
-        let mut turn = 0;
+        let mut offset = 0;
         loop {
-            if !self.health.borrow().is_fresh(FRESH) {
-                let asked = self.some(turn);
-                let asking = asked.iter().map(|address| self.ask(address));
-                futures_util::future::join_all(asking).await;
-                turn += ASKED;
+            if !self.health.borrow().is_fresh(MAX_STATE_AGE) {
+                let agents = self.select_agents(offset);
+                let requests = agents.iter().map(|address| self.fetch_state(address));
+                futures_util::future::join_all(requests).await;
+                offset += MAX_AGENTS;
             }
             tokio::time::sleep(INTERVAL).await;
         }
     }
 
     /// Some of the agents known, other ones each turn.
-    fn some(&self, turn: usize) -> Vec<CompactString> {
+    fn select_agents(&self, offset: usize) -> Vec<CompactString> {
         let view = self.shared.view.borrow().clone();
-        let mut all: Vec<_> = view.targets().map(|site| site.spec.agent.clone()).collect();
+        let mut all: Vec<_> = view.targets().map(|target| target.spec.agent.clone()).collect();
         all.extend(self.peers.iter().cloned());
         all.sort();
         all.dedup();
         let count = all.len();
-        all.into_iter().cycle().skip(turn % count.max(1)).take(ASKED.min(count)).collect()
+        all.into_iter().cycle().skip(offset % count.max(1)).take(MAX_AGENTS.min(count)).collect()
     }
 
-    async fn ask(&self, address: &CompactString) {
+    async fn fetch_state(&self, address: &CompactString) {
         let peer = self.shared.peers.get(address);
-        let asking = async {
-            let session = peer.session(ASK_TIMEOUT).await?;
+        let request = async {
+            let session = peer.session(AGENT_TIMEOUT).await?;
             session.ask(AskKind::Snapshot, Bytes::new()).await
         };
-        let reply = tokio::time::timeout(ASK_TIMEOUT, asking).await.ok().flatten();
+        let reply = tokio::time::timeout(AGENT_TIMEOUT, request).await.ok().flatten();
         let Some(reply) = reply.filter(|reply| !reply.is_empty()) else { return };
         match Snapshots::read(address, &reply) {
-            Ok(snapshots) => self.take(address, &snapshots),
+            Ok(snapshots) => self.offer(address, &snapshots),
             Err(error) => log::warn!(peer = address.as_str(), error:% = error; "state-unreadable"),
         }
     }
 
-    fn take(&self, address: &str, snapshots: &Snapshots) {
+    fn offer(&self, address: &str, snapshots: &Snapshots) {
         let unreadable = |error: state::Error| {
             log::warn!(peer = address, error:% = error; "state-unreadable");
         };
--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -7,12 +7,12 @@
 use crate::Reason;
 use crate::attempt::Attempt;
 use crate::daemon::Shared;
-use crate::decisions::Past;
-use crate::explain::Account;
-use crate::outcome::{Failure, Trail};
+use crate::decisions::RetryContext;
+use crate::explain::ExplanationRecorder;
+use crate::outcome::{AttemptHistory, Failure};
 use crate::problem::Problem;
 use crate::router;
-use crate::view::Site;
+use crate::view::ConfiguredTarget;
 use bytes::{Bytes, BytesMut};
 use compact_str::format_compact;
 use conf::Name;
@@ -22,17 +22,17 @@
 use wire::{Call, EventKind, Head, Progress, Request, Work};
 
 /// How long a call waits for a connection to its target's agent.
-const CONNECT_PATIENCE: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Bytes of a body that are collected before the caller gets any: up to here a lost target can
 /// still be answered with a retry or a truthful problem instead of a cut body.
-const MAX_HELD_BYTES: usize = 64 * 1024;
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
 /// How long the first bytes are held back for the rest.
-const MAX_HELD: Duration = Duration::from_millis(50);
+const MAX_BUFFER_TIME: Duration = Duration::from_millis(50);
 
 /// A response whose head is known.
-pub(crate) struct Answer {
+pub(crate) struct ServiceResponse {
     pub(crate) head: Head,
     /// The body as far as it has come.
     pub(crate) body: Bytes,
@@ -41,71 +41,71 @@
 }
 
 /// One call on its way.
-pub(crate) struct Errand<'a> {
+pub(crate) struct ServiceCall<'a> {
     pub(crate) shared: &'a Shared,
     pub(crate) request: Request,
     pub(crate) call: Call,
-    pub(crate) account: Account,
+    pub(crate) recorder: ExplanationRecorder,
     pub(crate) deadline: Instant,
 }
 
-impl Errand<'_> {
+impl ServiceCall<'_> {
     /// Runs the call until its response has begun.
-    pub(crate) async fn run(mut self) -> Result<Answer, Problem> {
-        let mut trail = Trail::new(self.call.repeatable);
+    pub(crate) async fn run(mut self) -> Result<ServiceResponse, Problem> {
+        let mut history = AttemptHistory::new(self.call.repeatable);
         let mut tried = Vec::new();
         let mut retries = 0;
         loop {
             let failure = match self.attempt(&mut tried).await {
-                Ok(answer) => return Ok(answer),
+                Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            self.report(&failure);
+            self.log_failure(&failure);
             let target = tried.last().cloned().unwrap_or_default();
-            if failure.reason.is_targets_fault() {
-                self.shared.decisions.failed(&target);
+            if failure.reason.is_target_fault() {
+                self.shared.decisions.record_failure(&target);
             }
-            let past = Past {
+            let context = RetryContext {
                 caller: &self.request.caller.as_str().into(),
                 target: &target,
-                trail: &trail,
+                history: &history,
                 retries,
                 crashes: 0,
                 delivered: false,
             };
-            let wait = self.shared.decisions.retry(&failure, &past);
-            let Some(wait) = wait.filter(|_| self.call.repeatable) else {
-                return Err(Problem::new(failure, &trail));
+            let delay = self.shared.decisions.retry_delay(&failure, &context);
+            let Some(delay) = delay.filter(|_| self.call.repeatable) else {
+                return Err(Problem::new(failure, &history));
             };
-            trail.note(failure.progress);
+            history.record(failure.progress);
             retries += 1;
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    fn report(&self, failure: &Failure) {
+    fn log_failure(&self, failure: &Failure) {
         let (request, reason) = (self.request.id.as_str(), failure.reason.name());
-        self.account.add(format_compact!("{reason}: {}", failure.detail));
+        self.recorder.record(format_compact!("{reason}: {}", failure.detail));
         let detail = failure.detail.as_str();
         log::info!(request = request, reason = reason, detail = detail; "attempt-failed");
     }
 
-    async fn attempt(&mut self, tried: &mut Vec<Name>) -> Result<Answer, Failure> {
-        let site = self.choose(tried);
-        let site = site.ok_or_else(|| {
+    async fn attempt(&mut self, tried: &mut Vec<Name>) -> Result<ServiceResponse, Failure> {
+        let target = self.choose_target(tried);
+        let target = target.ok_or_else(|| {
             Failure::not_run(Reason::NoTarget, "no target of this service is in service")
         })?;
         if tried.is_empty() {
             let caller = self.request.caller.as_str().into();
-            self.shared.decisions.earn(&caller, &site.name);
+            self.shared.decisions.earn(&caller, &target.name);
         }
-        tried.push(site.name.clone());
-        self.account.sent(&site.name);
-        let mut attempt = self.submit(&site).await?;
+        tried.push(target.name.clone());
+        self.recorder.record_sent(&target.name);
+        let mut attempt = self.submit(&target).await?;
         match tokio::time::timeout_at(self.deadline, response(&mut attempt)).await {
-            Ok(Ok((head, body, ended))) => {
-                let rest = (!ended).then_some(attempt);
-                Ok(Answer { head, body, rest })
+            Ok(Ok((head, body, is_complete))) => {
+                let rest = (!is_complete).then_some(attempt);
+                Ok(ServiceResponse { head, body, rest })
             }
             Ok(Err(failure)) => Err(failure),
             Err(_) => {
@@ -117,29 +117,30 @@
         }
     }
 
-    fn choose(&self, tried: &[Name]) -> Option<Arc<Site>> {
+    fn choose_target(&self, tried: &[Name]) -> Option<Arc<ConfiguredTarget>> {
         let Call { service, key, repeatable, .. } = &self.call;
         if *repeatable {
-            let picks = router::for_call(self.shared, service, tried);
-            return picks.into_iter().next().map(|pick| pick.site);
+            let targets = router::for_call(self.shared, service, tried);
+            return targets.into_iter().next().map(|target| target.configured);
         }
-        router::home(self.shared, service, &self.request.caller, key)
+        router::target_for_key(self.shared, service, &self.request.caller, key)
     }
 
-    async fn submit(&mut self, site: &Site) -> Result<Attempt, Failure> {
+    async fn submit(&mut self, target: &ConfiguredTarget) -> Result<Attempt, Failure> {
         let unreachable = |detail: &str| {
-            Failure::not_run(Reason::AgentUnreachable, format!("{}: {detail}", site.name))
+            Failure::not_run(Reason::AgentUnreachable, format!("{}: {detail}", target.name))
         };
-        let session = site.peer.session(CONNECT_PATIENCE).await;
+        let session = target.peer.session(CONNECT_TIMEOUT).await;
         let session = session.ok_or_else(|| unreachable("its agent can't be reached"))?;
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return Err(Failure::not_run(Reason::DeadlineExceeded, "the deadline passed"));
         }
-        self.request.deadline_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+        self.request.deadline_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
         self.request.work = Some(Work::Call(self.call.clone()));
-        let link = self.shared.peers.link();
-        let attempt = session.submit(link, site.name.clone(), self.request.clone(), false).await;
+        let context = self.shared.peers.context();
+        let attempt =
+            session.submit(context, target.name.clone(), self.request.clone(), false).await;
         self.shared.metrics.attempts.inc();
         attempt.ok_or_else(|| unreachable("the connection to its agent was lost"))
     }
@@ -150,32 +151,32 @@
     let head = loop {
         match attempt.next().await {
             Some(EventKind::Head(head)) => break head,
-            Some(EventKind::Refusal(refusal)) => return Err(Failure::refused(refusal)),
+            Some(EventKind::Refusal(refusal)) => return Err(Failure::from_refusal(refusal)),
             Some(EventKind::Offer(_)) => {}
             Some(EventKind::Delta(_) | EventKind::Part(_) | EventKind::End(_)) => {
-                return Err(garbled());
+                return Err(invalid_response());
             }
-            None => return Err(Failure::lost(attempt.progress())),
+            None => return Err(Failure::connection_lost(attempt.progress())),
         }
     };
     let mut body = BytesMut::new();
-    let until = Instant::now() + MAX_HELD;
-    while body.len() < MAX_HELD_BYTES {
-        let Ok(kind) = tokio::time::timeout_at(until, attempt.next()).await else { break };
+    let buffer_until = Instant::now() + MAX_BUFFER_TIME;
+    while body.len() < MAX_BUFFERED_BYTES {
+        let Ok(kind) = tokio::time::timeout_at(buffer_until, attempt.next()).await else { break };
         match kind {
             Some(EventKind::Part(part)) => body.extend_from_slice(&part.bytes),
             Some(EventKind::End(_)) => return Ok((head, body.freeze(), true)),
-            Some(EventKind::Refusal(refusal)) => return Err(Failure::refused(refusal)),
+            Some(EventKind::Refusal(refusal)) => return Err(Failure::from_refusal(refusal)),
             Some(EventKind::Delta(_) | EventKind::Offer(_) | EventKind::Head(_)) => {
-                return Err(garbled());
+                return Err(invalid_response());
             }
-            None => return Err(Failure::lost(attempt.progress())),
+            None => return Err(Failure::connection_lost(attempt.progress())),
         }
     }
     Ok((head, body.freeze(), false))
 }
 
-fn garbled() -> Failure {
+fn invalid_response() -> Failure {
     let detail = "the target's agent sent what is no service's answer".to_owned();
     let (reason, progress) = (Reason::TargetBroken, Progress::Started);
     Failure { reason, progress, retry_after: None, detail }
--- a/crates/entry/src/gate.rs
+++ b/crates/entry/src/capacity.rs
@@ -6,7 +6,7 @@
 use crate::Reason;
 use crate::decisions::Decisions;
 use crate::outcome::Failure;
-use crate::view::Client;
+use crate::view::ConfiguredCaller;
 use conf::Name;
 use policy::estimate::Cost;
 use std::sync::Arc;
@@ -15,88 +15,88 @@
 
 /// Requests open at a time: 12 requests a second (4,700 over 390 entries) stay far below it even
 /// if each takes a minute, and at 16 KB each it stays below 64 MB.
-const MAX_OPEN: usize = 4_096;
+const MAX_OPEN_REQUESTS: usize = 4_096;
 
 /// Bytes of bodies held at a time; a quarter of an entry's 256 MB.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// When to come again if the entry is full; answers end all the time.
-const FULL_WAIT: Duration = Duration::from_secs(1);
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Counts what is held.
 #[derive(Default)]
-pub(crate) struct Gate {
-    open: AtomicUsize,
-    bytes: AtomicUsize,
+pub(crate) struct Capacity {
+    open_requests: AtomicUsize,
+    body_bytes: AtomicUsize,
 }
 
 /// Leave to hold one request; dropping it gives it back.
-pub(crate) struct Pass {
-    gate: Arc<Gate>,
+pub(crate) struct CapacityGuard {
+    capacity: Arc<Capacity>,
     bytes: usize,
-    booking: Option<Booking>,
+    reservation: Option<LimitReservation>,
 }
 
 /// A request that counts against its caller's limits.
-struct Booking {
+struct LimitReservation {
     decisions: Arc<Decisions>,
     caller: Name,
     predicted: u64,
     used: u64,
 }
 
-impl Gate {
+impl Capacity {
     /// Lets a request in with a body of up to `bytes`.
-    pub(crate) fn enter(self: &Arc<Self>, bytes: usize) -> Result<Pass, Failure> {
-        let open = self.open.fetch_add(1, Ordering::Relaxed) + 1;
-        let held = self.bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
+    pub(crate) fn acquire(self: &Arc<Self>, bytes: usize) -> Result<CapacityGuard, Failure> {
+        let open = self.open_requests.fetch_add(1, Ordering::Relaxed) + 1;
+        let held_bytes = self.body_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
         // Made first, so that what was just counted is given back if it is too much.
-        let pass = Pass { gate: self.clone(), bytes, booking: None };
-        if open > MAX_OPEN || held > MAX_BODY_BYTES {
+        let guard = CapacityGuard { capacity: self.clone(), bytes, reservation: None };
+        if open > MAX_OPEN_REQUESTS || held_bytes > MAX_BODY_BYTES {
             let failure = Failure::not_run(Reason::EntryFull, "this entry holds all it can");
-            return Err(failure.retry_after(FULL_WAIT));
+            return Err(failure.with_retry_after(FULL_RETRY_AFTER));
         }
-        Ok(pass)
+        Ok(guard)
     }
 
     /// How many requests are held.
-    pub(crate) fn open(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+    pub(crate) fn open_requests(&self) -> usize {
+        self.open_requests.load(Ordering::Relaxed)
     }
 }
 
-impl Pass {
+impl CapacityGuard {
     /// Books the request under its caller's limits until the pass is dropped.
-    pub(crate) fn book(
+    pub(crate) fn reserve(
         &mut self,
         decisions: &Arc<Decisions>,
-        client: &Client,
+        caller: &ConfiguredCaller,
         cost: Cost,
     ) -> Result<(), Failure> {
-        decisions.open(client, cost)?;
+        decisions.open(caller, cost)?;
         let predicted = cost.prefill + cost.decode;
-        let (decisions, caller) = (decisions.clone(), client.name.clone());
-        self.booking = Some(Booking { decisions, caller, predicted, used: predicted });
+        let (decisions, caller) = (decisions.clone(), caller.name.clone());
+        self.reservation = Some(LimitReservation { decisions, caller, predicted, used: predicted });
         Ok(())
     }
 
     /// Corrects what the request was predicted to use by what it did.
-    pub(crate) fn used(&mut self, tokens: u64) {
-        if let Some(booking) = &mut self.booking {
-            booking.used = tokens;
+    pub(crate) fn set_used_tokens(&mut self, tokens: u64) {
+        if let Some(reservation) = &mut self.reservation {
+            reservation.used = tokens;
         }
     }
 }
 
-impl Drop for Booking {
+impl Drop for LimitReservation {
     fn drop(&mut self) {
         self.decisions.close(&self.caller, self.predicted, self.used);
     }
 }
 
-impl Drop for Pass {
+impl Drop for CapacityGuard {
     fn drop(&mut self) {
-        self.gate.open.fetch_sub(1, Ordering::Relaxed);
-        self.gate.bytes.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.capacity.open_requests.fetch_sub(1, Ordering::Relaxed);
+        self.capacity.body_bytes.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,17 +1,17 @@
 //! The entry's process: its tasks and how it stops.
 
 use crate::bootstrap::Bootstrap;
+use crate::capacity::Capacity;
 use crate::decisions::Decisions;
-use crate::explain::{Accounts, Explanation};
-use crate::gate::Gate;
+use crate::explain::{Explanation, Explanations};
 use crate::members::Members;
 use crate::metrics::Metrics;
-use crate::peers::{Link, Peers};
+use crate::peers::{PeerContext, Peers};
 use crate::processes::ProcessStatus;
 use crate::random::Random;
 use crate::routes;
-use crate::view::View;
-use crate::{Context, Error, Result, upkeep};
+use crate::view::ConfigView;
+use crate::{Context, Error, Result, maintenance};
 use compact_str::CompactString;
 use conf::Name;
 use salvo::conn::tcp::TcpAcceptor;
@@ -45,15 +45,15 @@
 /// What all requests of an entry share.
 pub(crate) struct Shared {
     pub(crate) domain: CompactString,
-    pub(crate) view: watch::Receiver<Arc<View>>,
+    pub(crate) view: watch::Receiver<Arc<ConfigView>>,
     pub(crate) peers: Peers,
     pub(crate) members: Arc<Members>,
-    pub(crate) gate: Arc<Gate>,
+    pub(crate) capacity: Arc<Capacity>,
     pub(crate) decisions: Arc<Decisions>,
     pub(crate) system: watch::Receiver<Arc<System>>,
     pub(crate) health: watch::Receiver<Health>,
     pub(crate) random: Arc<Random>,
-    pub(crate) accounts: Accounts,
+    pub(crate) explanations: Explanations,
     pub(crate) metrics: Metrics,
     pub(crate) stop: CancellationToken,
 }
@@ -65,38 +65,38 @@
         let follower = Follower::<Config>::new(log.clone(), plat::CONFIG_STREAM.into());
         let system = Follower::<System>::new(log, plat::SYSTEM_STREAM.into());
         let (config, health) = (follower.state(), follower.health());
-        let offers = (follower.offers(), system.offers());
+        let offer_senders = (follower.offers(), system.offers());
         let random = Arc::new(Random::new(seed));
         let key = Key::new(settings.peer_key.as_bytes().to_vec());
         let decisions = Arc::new(Decisions::new(random.clone()));
         let name = settings.name.clone();
-        let link = Link::new(dialler, key, name, random.clone(), decisions.clone());
-        let (views, view) = watch::channel(Arc::new(View::default()));
+        let peer_context = PeerContext::new(dialler, key, name, random.clone(), decisions.clone());
+        let (views, view) = watch::channel(Arc::new(ConfigView::default()));
         let shared = Arc::new(Shared {
             domain: settings.domain.clone(),
             view,
-            peers: Peers::new(Arc::new(link)),
+            peers: Peers::new(Arc::new(peer_context)),
             members: Arc::default(),
-            gate: Arc::default(),
+            capacity: Arc::default(),
             decisions,
             system: system.state(),
             health: health.clone(),
             random,
-            accounts: Accounts::default(),
+            explanations: Explanations::default(),
             metrics: Metrics::new(),
             stop,
         });
         let mut tasks = JoinSet::new();
         tasks.spawn(follower.run());
         tasks.spawn(system.run());
-        tasks.spawn(upkeep::follow(shared.clone(), config.clone(), views));
-        tasks.spawn(upkeep::tick(shared.clone()));
+        tasks.spawn(maintenance::follow_config(shared.clone(), config.clone(), views));
+        tasks.spawn(maintenance::run_periodic(shared.clone()));
         let bootstrap = Bootstrap {
             shared: shared.clone(),
             peers: settings.peers.clone(),
             health,
-            config: offers.0,
-            system: offers.1,
+            config: offer_senders.0,
+            system: offer_senders.1,
         };
         tasks.spawn(bootstrap.run());
         tasks.spawn(shared.members.clone().run(vms));
@@ -111,8 +111,8 @@
     /// Where a recent request was sent and why, if this entry took it, with what the agents of
     /// its targets say of it.
     pub async fn explain(&self, request: &str) -> Option<Explanation> {
-        let mut explanation = self.shared.accounts.find(request)?;
-        explanation.agents = self.shared.ask_agents(request, &explanation.targets).await;
+        let mut explanation = self.shared.explanations.find(request)?;
+        explanation.agents = self.shared.collect_reports(request, &explanation.targets).await;
         Some(explanation)
     }
 
@@ -129,22 +129,22 @@
     /// What the other processes last said of themselves: the agents of all configured targets,
     /// `None` for those that were not heard, and the entries heard of lately.
     pub fn processes(&self) -> (Vec<(Name, Option<ProcessStatus>)>, Vec<ProcessStatus>) {
-        let link = self.shared.peers.link();
+        let context = self.shared.peers.context();
         let view = self.shared.view.borrow().clone();
-        let agents = view.targets().map(|site| {
-            let heard = link.processes.agent(&site.name, &site.spec.agent);
-            (site.name.clone(), heard)
+        let agents = view.targets().map(|target| {
+            let status = context.processes.agent(&target.name, &target.spec.agent);
+            (target.name.clone(), status)
         });
-        let entries = link.processes.entries_heard().into_iter();
-        (agents.collect(), entries.filter(|entry| entry.name != link.name).collect())
+        let entries = context.processes.recent_entries().into_iter();
+        (agents.collect(), entries.filter(|entry| entry.name != context.name).collect())
     }
 
     /// Connects to the agents outside the entry's subset, so that they are heard too; an agent
     /// that is connected already costs nothing.
-    pub async fn connect_all_agents(&self, patience: Duration) {
+    pub async fn connect_all_agents(&self, timeout: Duration) {
         let view = self.shared.view.borrow().clone();
-        let sites = view.targets().map(|site| site.peer.session(patience));
-        futures_util::future::join_all(sites).await;
+        let connections = view.targets().map(|target| target.peer.session(timeout));
+        futures_util::future::join_all(connections).await;
     }
 
     /// The metrics in the text form that Prometheus reads.
@@ -160,7 +160,7 @@
         self.metrics.log_lag.set(i64::try_from(health.lag()).unwrap_or(i64::MAX));
         let age = health.fresh.map(|fresh| i64::try_from(fresh.elapsed().as_secs()));
         self.metrics.log_age.set(age.map_or(-1, |age| age.unwrap_or(i64::MAX)));
-        self.metrics.open.set(i64::try_from(self.gate.open()).unwrap_or(i64::MAX));
+        self.metrics.open.set(i64::try_from(self.capacity.open_requests()).unwrap_or(i64::MAX));
         self.metrics.text()
     }
 }
@@ -172,18 +172,18 @@
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a caller may pause in the middle of a body.
-const BODY_PAUSE: Duration = Duration::from_secs(10);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How long a caller may take nothing of a response; its connection is closed then, which also
 /// ends what the response still held.
-const WRITE_STALL: Duration = Duration::from_secs(30);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The largest headers of a request, in bytes, together.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 
 /// How long the entry is not ready before it takes no more connections, so that the balancer has
 /// noticed when it goes.
-const NOTICE: Duration = Duration::from_secs(1);
+const UNREADY_PERIOD: Duration = Duration::from_secs(1);
 
 impl Daemon {
     /// Binds the address for callers and starts following the log.
@@ -213,14 +213,14 @@
         let Self { entry, acceptor, drain, stop, .. } = self;
         let fuse = FuseConfig::default()
             .with_http1_header_timeout(HEADER_TIMEOUT)
-            .with_request_body_timeout(BODY_PAUSE)
-            .with_write_stall_timeout(WRITE_STALL);
+            .with_request_body_timeout(BODY_IDLE_TIMEOUT)
+            .with_write_stall_timeout(WRITE_TIMEOUT);
         let mut server = Server::new(acceptor).max_connections(MAX_CONNECTIONS).fuse_config(fuse);
         server.http1_mut().max_buf_size(MAX_HEADER_BYTES);
         let handle = server.handle();
         let stopping = tokio::spawn(async move {
             stop.cancelled().await;
-            tokio::time::sleep(NOTICE).await;
+            tokio::time::sleep(UNREADY_PERIOD).await;
             handle.stop_graceful(drain);
         });
         server.serve(entry.router()).await;
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -1,12 +1,12 @@
 //! The decisions of [`policy`] at this entry, with their state, clock and random numbers.
 
 use crate::Reason;
-use crate::board::{Board, Pick};
-use crate::copies::Copies;
-use crate::outcome::{Failure, Trail};
+use crate::duplicates::Duplicates;
+use crate::outcome::{AttemptHistory, Failure};
 use crate::random::Random;
+use crate::target_table::{SelectedTarget, TargetTable};
 use crate::versions::Versions;
-use crate::view::Client;
+use crate::view::ConfiguredCaller;
 use compact_str::CompactString;
 use conf::Name;
 use policy::Time;
@@ -26,17 +26,17 @@
 pub(crate) struct Decisions {
     epoch: Instant,
     random: Arc<Random>,
-    pub(crate) board: Board,
+    pub(crate) targets: TargetTable,
     pub(crate) versions: Versions,
-    pub(crate) copies: Arc<Copies>,
+    pub(crate) duplicates: Arc<Duplicates>,
     admission: Admission,
     quarantine: Quarantine,
-    learnt: Mutex<Learnt>,
+    traffic: Mutex<TrafficState>,
 }
 
 /// What the decisions learn from traffic.
 #[derive(Default)]
-struct Learnt {
+struct TrafficState {
     estimator: Estimator,
     retries: Budget,
     limits: Option<Limits>,
@@ -50,7 +50,7 @@
 struct Demand {
     prompt: f64,
     output: f64,
-    at: Time,
+    updated_at: Time,
 }
 
 /// How often one request is tried again at most, also where that costs the fleet nothing.
@@ -61,17 +61,17 @@
 const MAX_CRASHES: u32 = 2;
 
 /// How long an entry counts as live after it was last heard of.
-const ENTRY_MEMORY: Duration = Duration::from_secs(30);
+const ENTRY_EXPIRY: Duration = Duration::from_secs(30);
 
 /// The first wait before a retry that costs nothing; it doubles.
-const FREE_WAIT: Duration = Duration::from_millis(20);
+const FREE_BACKOFF: Duration = Duration::from_millis(20);
 
 /// What a request has gone through when a retry is asked for.
-pub(crate) struct Past<'a> {
+pub(crate) struct RetryContext<'a> {
     pub(crate) caller: &'a CompactString,
     /// The target that failed; empty if none was tried.
     pub(crate) target: &'a CompactString,
-    pub(crate) trail: &'a Trail,
+    pub(crate) history: &'a AttemptHistory,
     pub(crate) retries: u32,
     pub(crate) crashes: u32,
     /// Whether a part of the answer was delivered.
@@ -84,12 +84,12 @@
         Self {
             epoch: Instant::now(),
             random,
-            board: Board::default(),
+            targets: TargetTable::default(),
             versions: Versions::default(),
-            copies: Arc::default(),
+            duplicates: Arc::default(),
             admission: Admission::default(),
             quarantine: Quarantine::default(),
-            learnt: Mutex::default(),
+            traffic: Mutex::default(),
         }
     }
 
@@ -119,16 +119,16 @@
     }
 
     /// Opens a request under its caller's limits, or refuses it; what is opened is closed once.
-    pub(crate) fn open(&self, client: &Client, cost: Cost) -> Result<(), Failure> {
+    pub(crate) fn open(&self, caller: &ConfiguredCaller, cost: Cost) -> Result<(), Failure> {
         let now = self.now();
         let limit = Limit {
-            tokens_per_second: client.spec.tokens_per_second,
-            concurrency: client.spec.concurrency,
+            tokens_per_second: caller.spec.tokens_per_second,
+            concurrency: caller.spec.concurrency,
         };
-        let mut learnt = self.lock();
-        learnt.demand.add(cost, now);
+        let mut traffic = self.lock();
+        traffic.demand.add(cost, now);
         let tokens = cost.prefill + cost.decode;
-        learnt.limits().open(&client.name, limit, tokens, now).map_err(refused)
+        traffic.limits().open(&caller.name, limit, tokens, now).map_err(admission_failure)
     }
 
     /// Closes a request with the tokens that it was predicted to use and did use.
@@ -137,52 +137,60 @@
     }
 
     /// Takes in what other entries tell of the callers that they serve.
-    pub(crate) fn hear_entries(&self, own: &str, sightings: &[wire::Sighting]) {
+    pub(crate) fn observe_entries(&self, own: &str, sightings: &[wire::Sighting]) {
         let now = self.now();
-        let mut learnt = self.lock();
+        let mut traffic = self.lock();
         for sighting in sightings.iter().filter(|sighting| sighting.entry != own) {
-            let heard = now.saturating_sub(Duration::from_millis(sighting.age_ms));
-            learnt.entries.insert(sighting.entry.clone(), heard);
-            let usage: Vec<_> = sighting.usages.iter().map(usage_of).collect();
-            learnt.limits().observe_peer(policy::hash(&sighting.entry), &usage, now);
+            let last_seen = now.saturating_sub(Duration::from_millis(sighting.age_ms));
+            traffic.entries.insert(sighting.entry.clone(), last_seen);
+            let usage: Vec<_> = sighting.usages.iter().map(usage_from_wire).collect();
+            traffic.limits().observe_peer(policy::hash(&sighting.entry), &usage, now);
         }
-        learnt.entries.retain(|_, heard| now.saturating_sub(*heard) < ENTRY_MEMORY);
-        let live = learnt.entries.len() + 1;
-        learnt.limits().set_entries(live);
+        traffic.entries.retain(|_, last_seen| now.saturating_sub(*last_seen) < ENTRY_EXPIRY);
+        let live = traffic.entries.len() + 1;
+        traffic.limits().set_entries(live);
     }
 
     /// Completes what the entry says of itself with demand and busy callers.
-    pub(crate) fn tell(&self, sighting: &mut wire::Sighting) {
+    pub(crate) fn report_demand(&self, sighting: &mut wire::Sighting) {
         let now = self.now();
-        let mut learnt = self.lock();
-        let (prompt, output) = learnt.demand.rates(now);
+        let mut traffic = self.lock();
+        let (prompt, output) = traffic.demand.rates(now);
         sighting.prompt_rate = prompt;
         sighting.output_rate = output;
-        sighting.usages = learnt.limits().report(now).into_iter().map(told).collect();
+        sighting.usages = traffic.limits().report(now).into_iter().map(usage_to_wire).collect();
     }
 
     /// Refuses a prompt that can't begin before its deadline at any of the targets picked.
-    pub(crate) fn admit(&self, picks: &[Pick], cost: Cost, left: Duration) -> Result<(), Failure> {
+    pub(crate) fn admit(
+        &self,
+        candidates: &[SelectedTarget],
+        cost: Cost,
+        remaining: Duration,
+    ) -> Result<(), Failure> {
         let now = self.now();
-        let ask = Request { cost, deadline: Some(now + left) };
-        let decide = |pick: &Pick| {
-            let view =
-                admission::TargetState { ahead: pick.ahead, rates: pick.rates, accepting: true };
-            self.admission.decide(&ask, &view, now)
+        let request = Request { cost, deadline: Some(now + remaining) };
+        let decide = |target: &SelectedTarget| {
+            let state = admission::TargetState {
+                ahead: target.ahead,
+                rates: target.rates,
+                accepting: true,
+            };
+            self.admission.decide(&request, &state, now)
         };
         let mut refusal = None;
-        for pick in picks {
-            match decide(pick) {
+        for target in candidates {
+            match decide(target) {
                 Ok(_) => return Ok(()),
                 Err(error) => refusal = refusal.or(Some(error)),
             }
         }
-        refusal.map_or(Ok(()), |refusal| Err(refused(refusal)))
+        refusal.map_or(Ok(()), |refusal| Err(admission_failure(refusal)))
     }
 
     /// How the request with this fingerprint may run, by the log's records of crashes.
-    pub(crate) fn judge(&self, system: &System, fingerprint: u64) -> Verdict {
-        self.quarantine.decide(&Crashes(system), fingerprint)
+    pub(crate) fn quarantine_verdict(&self, system: &System, fingerprint: u64) -> Verdict {
+        self.quarantine.decide(&LoggedCrashes(system), fingerprint)
     }
 
     /// Books the first attempt of a request.
@@ -192,13 +200,17 @@
     }
 
     /// Notes that a target failed an attempt.
-    pub(crate) fn failed(&self, target: &Name) {
-        self.board.sample(target, Sample::Failed, self.now());
+    pub(crate) fn record_failure(&self, target: &Name) {
+        self.targets.record_sample(target, Sample::Failed, self.now());
     }
 
     /// Notes how fast a target generated: seconds for each token.
-    pub(crate) fn done(&self, target: &Name, pace: f64) {
-        self.board.sample(target, Sample::Completed { seconds_per_unit: pace }, self.now());
+    pub(crate) fn record_completion(&self, target: &Name, seconds_per_token: f64) {
+        self.targets.record_sample(
+            target,
+            Sample::Completed { seconds_per_unit: seconds_per_token },
+            self.now(),
+        );
     }
 
     /// How long to wait before another attempt; `None` if there is to be none.
@@ -207,38 +219,43 @@
     /// reached its target, the resumption of an answer under way, which goes on where the lost one
     /// stopped, and a planned change, after which the KV cache moves along. A crash with 16 streams
     /// would otherwise cut 12 of them, and so would a change that operators planned.
-    pub(crate) fn retry(&self, failure: &Failure, past: &Past<'_>) -> Option<Duration> {
-        let mut trail = *past.trail;
-        trail.note(failure.progress);
+    pub(crate) fn retry_delay(
+        &self,
+        failure: &Failure,
+        context: &RetryContext<'_>,
+    ) -> Option<Duration> {
+        let mut history = *context.history;
+        history.record(failure.progress);
         // This entry's own refusal has weighed all targets already; an agent's speaks for its own.
-        if failure.reason == Reason::Overloaded && past.target.is_empty() {
+        if failure.reason == Reason::Overloaded && context.target.is_empty() {
             return None;
         }
-        let spent = past.retries >= MAX_RETRIES || past.crashes >= MAX_CRASHES;
-        if spent || !trail.may_retry() || !failure.reason.may_differ_elsewhere() {
+        let exhausted = context.retries >= MAX_RETRIES || context.crashes >= MAX_CRASHES;
+        if exhausted || !history.may_retry() || !failure.reason.may_succeed_elsewhere() {
             return None;
         }
         let planned = failure.reason == Reason::Draining;
-        let free = planned || failure.progress == wire::Progress::NotRun || past.delivered;
+        let free = planned || failure.progress == wire::Progress::NotRun || context.delivered;
         if free {
-            let doubled = FREE_WAIT * 2_u32.saturating_pow(past.retries);
+            let backoff = FREE_BACKOFF * 2_u32.saturating_pow(context.retries);
             // The first goes out at once: the target that failed is out of the way already.
-            let wait = if past.retries == 0 { Duration::ZERO } else { self.random.jitter(doubled) };
+            let wait =
+                if context.retries == 0 { Duration::ZERO } else { self.random.jitter(backoff) };
             return Some(wait);
         }
         let now = self.now();
-        let attempts = past.retries + 1;
-        let mut learnt = self.lock();
-        let Past { caller, target, .. } = past;
-        self.random.with(|rng| learnt.retries.spend(caller, target, attempts, now, rng))
+        let attempts = context.retries + 1;
+        let mut traffic = self.lock();
+        let RetryContext { caller, target, .. } = context;
+        self.random.with(|rng| traffic.retries.spend(caller, target, attempts, now, rng))
     }
 
-    fn lock(&self) -> MutexGuard<'_, Learnt> {
-        self.learnt.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TrafficState> {
+        self.traffic.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Learnt {
+impl TrafficState {
     fn limits(&mut self) -> &mut Limits {
         self.limits.get_or_insert_with(|| Limits::new(policy::limits::Settings::default()))
     }
@@ -249,11 +266,11 @@
     const WINDOW: Duration = Duration::from_secs(10);
 
     fn decay(&mut self, now: Time) {
-        let age = now.saturating_sub(self.at).as_secs_f64() / Self::WINDOW.as_secs_f64();
-        let kept = (-age).exp();
-        self.prompt *= kept;
-        self.output *= kept;
-        self.at = now;
+        let age = now.saturating_sub(self.updated_at).as_secs_f64() / Self::WINDOW.as_secs_f64();
+        let factor = (-age).exp();
+        self.prompt *= factor;
+        self.output *= factor;
+        self.updated_at = now;
     }
 
     fn add(&mut self, cost: Cost, now: Time) {
@@ -269,9 +286,9 @@
 }
 
 /// The log's records of crashes, as the quarantine reads them.
-struct Crashes<'a>(&'a System);
+struct LoggedCrashes<'a>(&'a System);
 
-impl CrashRecords for Crashes<'_> {
+impl CrashRecords for LoggedCrashes<'_> {
     fn history(&self, fingerprint: u64) -> CrashHistory {
         let Some(suspect) = self.0.suspect(fingerprint) else { return CrashHistory::default() };
         let count = |number: usize| u32::try_from(number).unwrap_or(u32::MAX);
@@ -283,7 +300,7 @@
     }
 }
 
-fn refused(refusal: admission::Refusal) -> Failure {
+fn admission_failure(refusal: admission::Refusal) -> Failure {
     let (reason, detail) = match refusal.reason {
         admission::Reason::DeadlineUnreachable => {
             (Reason::Overloaded, "it can't begin before its deadline")
@@ -296,15 +313,15 @@
         }
         admission::Reason::Quarantined => (Reason::Quarantined, "it crashed targets"),
     };
-    Failure::not_run(reason, detail).retry_after(refusal.retry_after)
+    Failure::not_run(reason, detail).with_retry_after(refusal.retry_after)
 }
 
-fn usage_of(usage: &wire::Usage) -> policy::limits::CallerUsage {
+fn usage_from_wire(usage: &wire::Usage) -> policy::limits::CallerUsage {
     let wire::Usage { caller, rate, open } = *usage;
     policy::limits::CallerUsage { caller, rate: float(rate), open }
 }
 
-fn told(usage: policy::limits::CallerUsage) -> wire::Usage {
+fn usage_to_wire(usage: policy::limits::CallerUsage) -> wire::Usage {
     let policy::limits::CallerUsage { caller, rate, open } = usage;
     wire::Usage { caller, rate: count(rate), open }
 }
--- a/crates/entry/src/explain.rs
+++ b/crates/entry/src/explain.rs
@@ -8,7 +8,7 @@
 
 /// How many requests are remembered: some seconds of an entry's share of the peak, and about
 /// 1 KB each, so a few megabytes at most.
-const REMEMBERED: usize = 4_096;
+const MAX_REQUESTS: usize = 4_096;
 
 /// How many steps of one request are remembered.
 const MAX_STEPS: usize = 64;
@@ -27,12 +27,12 @@
     /// The targets to which it was sent, in order.
     pub targets: Vec<CompactString>,
     /// What the targets' agents say of it.
-    pub agents: Vec<Report>,
+    pub agents: Vec<AgentReport>,
 }
 
 /// What one agent says of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Report {
+pub struct AgentReport {
     /// The target beside which it stands.
     pub target: CompactString,
     /// Its words, one line an event.
@@ -50,15 +50,15 @@
 
 /// The account of one request, to which its handler adds steps.
 #[derive(Clone)]
-pub(crate) struct Account {
-    start: Instant,
+pub(crate) struct ExplanationRecorder {
+    started_at: Instant,
     inner: Arc<Mutex<Explanation>>,
 }
 
-impl Account {
+impl ExplanationRecorder {
     /// Notes that the request is sent to a target.
-    pub(crate) fn sent(&self, target: &str) {
-        self.add(format_compact!("sent to {target}"));
+    pub(crate) fn record_sent(&self, target: &str) {
+        self.record(format_compact!("sent to {target}"));
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if !inner.targets.iter().any(|other| other == target) {
             inner.targets.push(target.into());
@@ -68,20 +68,20 @@
 
 /// The accounts of recent requests.
 #[derive(Default)]
-pub(crate) struct Accounts {
+pub(crate) struct Explanations {
     recent: Mutex<Recent>,
 }
 
 #[derive(Default)]
 struct Recent {
     order: VecDeque<CompactString>,
-    by_id: HashMap<CompactString, Account>,
+    by_id: HashMap<CompactString, ExplanationRecorder>,
 }
 
-impl Account {
+impl ExplanationRecorder {
     /// Adds a step.
-    pub(crate) fn add(&self, text: CompactString) {
-        let at_ms = u64::try_from(self.start.elapsed().as_millis()).unwrap_or(u64::MAX);
+    pub(crate) fn record(&self, text: CompactString) {
+        let at_ms = u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if inner.steps.len() < MAX_STEPS {
             inner.steps.push(Step { at_ms, text });
@@ -89,9 +89,9 @@
     }
 }
 
-impl Accounts {
+impl Explanations {
     /// Opens the account of a request.
-    pub(crate) fn open(&self, request: &str, caller: &str, asked: &str) -> Account {
+    pub(crate) fn start(&self, request: &str, caller: &str, asked: &str) -> ExplanationRecorder {
         let explanation = Explanation {
             request: request.into(),
             caller: caller.into(),
@@ -101,23 +101,23 @@
             agents: Vec::new(),
         };
         let inner = Arc::new(Mutex::new(explanation));
-        let account = Account { start: Instant::now(), inner };
+        let recorder = ExplanationRecorder { started_at: Instant::now(), inner };
         let mut recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
-        if recent.order.len() >= REMEMBERED
+        if recent.order.len() >= MAX_REQUESTS
             && let Some(oldest) = recent.order.pop_front()
         {
             recent.by_id.remove(&oldest);
         }
         recent.order.push_back(request.into());
-        recent.by_id.insert(request.into(), account.clone());
-        account
+        recent.by_id.insert(request.into(), recorder.clone());
+        recorder
     }
 
     /// What is known of a request.
     pub(crate) fn find(&self, request: &str) -> Option<Explanation> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
-        let account = recent.by_id.get(request)?;
-        let inner = account.inner.lock().unwrap_or_else(PoisonError::into_inner);
+        let recorder = recent.by_id.get(request)?;
+        let inner = recorder.inner.lock().unwrap_or_else(PoisonError::into_inner);
         Some(inner.clone())
     }
 }
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -5,7 +5,7 @@
 use wire::Header;
 
 /// Headers that belong to one connection (RFC 9110, section 7.6.1) or to us.
-const KEPT_BACK: [&str; 16] = [
+const NOT_FORWARDED: [&str; 16] = [
     "authorization",
     "connection",
     "content-length",
@@ -28,7 +28,7 @@
 ///
 /// Two framings in one request are how a second request is smuggled past whoever reads only one
 /// of them; we frame anew towards targets, but callers that send this are broken or hostile.
-pub(crate) fn fault(headers: &HeaderMap) -> Option<&'static str> {
+pub(crate) fn violation(headers: &HeaderMap) -> Option<&'static str> {
     let length = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encoding = headers.get_all(header::TRANSFER_ENCODING).iter().count();
     if length > 0 && encoding > 0 {
@@ -48,13 +48,13 @@
 
 /// The headers of a request that are passed on to a service.
 pub(crate) fn to_service(headers: &HeaderMap) -> Vec<Header> {
-    let named = named_in_connection(headers);
-    let passed = headers.iter().filter(|(name, _)| passes(name.as_str(), &named));
-    let passed = passed.map(|(name, value)| Header {
+    let options = connection_options(headers);
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name.as_str(), &options));
+    let forwarded = forwarded.map(|(name, value)| Header {
         name: name.to_string(),
         value: Bytes::copy_from_slice(value.as_bytes()),
     });
-    passed.collect()
+    forwarded.collect()
 }
 
 /// Adds the headers of a service's response that are passed on to its caller.
@@ -67,20 +67,20 @@
             all.append(name, value);
         }
     }
-    let named = named_in_connection(&all);
+    let options = connection_options(&all);
     for (name, value) in &all {
-        if passes(name.as_str(), &named) {
+        if is_forwarded(name.as_str(), &options) {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-fn passes(name: &str, named: &[String]) -> bool {
-    !KEPT_BACK.contains(&name) && !named.iter().any(|other| other == name)
+fn is_forwarded(name: &str, options: &[String]) -> bool {
+    !NOT_FORWARDED.contains(&name) && !options.iter().any(|option| option == name)
 }
 
 /// The headers that `Connection` names as belonging to this connection only.
-fn named_in_connection(headers: &HeaderMap) -> Vec<String> {
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(',')).map(|name| name.trim().to_ascii_lowercase());
--- a/crates/entry/src/heartbeat.rs
+++ b/crates/entry/src/heartbeat.rs
@@ -11,78 +11,84 @@
 use tokio::time::Instant;
 
 /// How often a connection with open requests is looked after.
-const BUSY: Duration = Duration::from_secs(1);
+const BUSY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often an agent is told about this entry (demand, configuration in force), traffic or not.
-const TELL: Duration = Duration::from_secs(5);
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 /// After how many intervals without an answer to a ping the agent counts as silent: an answer
 /// that is late by half an interval does not end the connection.
-const SILENT_INTERVALS: f64 = 1.5;
+const TIMEOUT_INTERVALS: f64 = 1.5;
 
 /// What to do about a connection now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Beat {
+pub(crate) enum HeartbeatAction {
     /// Nothing: it was heard from.
-    Rest,
+    Wait,
     /// Ping the agent.
     Ping,
     /// Give the connection up.
-    Silent,
+    TimedOut,
 }
 
 /// The heartbeat of one connection.
 #[derive(Debug)]
 pub(crate) struct Heartbeat {
     /// When it was last looked after.
-    looked: Instant,
+    last_check: Instant,
     /// Whether anything was heard since.
-    heard: bool,
+    received: bool,
     /// When the first ping was sent that nothing was heard after.
-    unanswered: Option<Instant>,
+    unanswered_since: Option<Instant>,
     /// When the agent was last told about this entry.
-    told: Option<Instant>,
+    last_report: Option<Instant>,
 }
 
 impl Heartbeat {
     /// Begins at the connection's start.
     pub(crate) fn new() -> Self {
-        Self { looked: Instant::now(), heard: false, unanswered: None, told: None }
+        Self {
+            last_check: Instant::now(),
+            received: false,
+            unanswered_since: None,
+            last_report: None,
+        }
     }
 
     /// When to look after the connection next; `idle` is the interval without open requests.
-    pub(crate) fn next(&self, busy: bool, idle: Duration) -> Instant {
-        match self.told {
-            Some(_) => self.looked + interval(busy, idle),
-            None => self.looked,
+    pub(crate) fn next_check(&self, busy: bool, idle: Duration) -> Instant {
+        match self.last_report {
+            Some(_) => self.last_check + interval(busy, idle),
+            None => self.last_check,
         }
     }
 
     /// Notes that a frame came.
-    pub(crate) fn hear(&mut self) {
-        self.heard = true;
-        self.unanswered = None;
+    pub(crate) fn record_frame(&mut self) {
+        self.received = true;
+        self.unanswered_since = None;
     }
 
     /// Looks after the connection.
-    pub(crate) fn look(&mut self, busy: bool, idle: Duration) -> Beat {
+    pub(crate) fn check(&mut self, busy: bool, idle: Duration) -> HeartbeatAction {
         let now = Instant::now();
-        self.looked = now;
-        let heard = std::mem::take(&mut self.heard);
-        let limit = interval(busy, idle).mul_f64(SILENT_INTERVALS);
-        if self.unanswered.is_some_and(|ping| now - ping >= limit) {
-            return Beat::Silent;
+        self.last_check = now;
+        let received = std::mem::take(&mut self.received);
+        let timeout = interval(busy, idle).mul_f64(TIMEOUT_INTERVALS);
+        if self.unanswered_since.is_some_and(|ping| now - ping >= timeout) {
+            return HeartbeatAction::TimedOut;
         }
-        let is_told = self.told.is_some_and(|told| now - told < TELL);
-        if heard && is_told {
-            return Beat::Rest;
+        let is_reported =
+            self.last_report.is_some_and(|last_report| now - last_report < REPORT_INTERVAL);
+        if received && is_reported {
+            return HeartbeatAction::Wait;
         }
-        self.told = Some(now);
-        self.unanswered.get_or_insert(now);
-        Beat::Ping
+        self.last_report = Some(now);
+        self.unanswered_since.get_or_insert(now);
+        HeartbeatAction::Ping
     }
 }
 
 fn interval(busy: bool, idle: Duration) -> Duration {
-    if busy { BUSY.min(idle) } else { idle }
+    if busy { BUSY_INTERVAL.min(idle) } else { idle }
 }
--- a/crates/entry/src/inbox.rs
+++ b/crates/entry/src/inbox.rs
@@ -13,7 +13,7 @@
 pub(crate) const CREDIT_EVENTS: u32 = 128;
 
 /// Room beside the credit for an offer and for the end, which an agent may send without any.
-const SPARE_EVENTS: usize = 4;
+const UNCREDITED_EVENTS: usize = 4;
 
 /// The open attempts of one connection; `None` once it is closed.
 pub(crate) struct Inbox {
@@ -28,20 +28,20 @@
 
     /// Opens an attempt; `None` if the connection is closed.
     pub(crate) fn open(&self, id: AttemptId) -> Option<mpsc::Receiver<EventKind>> {
-        let (sender, events) = mpsc::channel(CREDIT_EVENTS as usize + SPARE_EVENTS);
+        let (sender, events) = mpsc::channel(CREDIT_EVENTS as usize + UNCREDITED_EVENTS);
         self.lock().as_mut()?.insert(id, sender);
         Some(events)
     }
 
     /// Forgets an attempt that has ended or is abandoned; its late events are dropped from now on.
-    pub(crate) fn forget(&self, id: AttemptId) {
+    pub(crate) fn remove(&self, id: AttemptId) {
         if let Some(attempts) = self.lock().as_mut() {
             attempts.remove(&id);
         }
     }
 
     /// Hands an event on without waiting; one that nobody waits for is dropped.
-    pub(crate) fn hand_on(&self, id: AttemptId, kind: EventKind) {
+    pub(crate) fn deliver(&self, id: AttemptId, kind: EventKind) {
         let mut attempts = self.lock();
         let Some(attempts) = attempts.as_mut() else { return };
         let Some(sender) = attempts.get(&id) else { return };
--- a/crates/entry/src/race.rs
+++ b/crates/entry/src/late_binding.rs
@@ -6,16 +6,16 @@
 
 use crate::Reason;
 use crate::attempt::Attempt;
-use crate::board::Pick;
 use crate::daemon::Shared;
 use crate::outcome::Failure;
+use crate::target_table::SelectedTarget;
 use compact_str::format_compact;
 use conf::resource::Role;
 use std::time::Duration;
 use wire::{EventKind, Progress, Request, Work};
 
 /// How long a request waits for a connection to an agent before another target is tried.
-const CONNECT_PATIENCE: Duration = Duration::from_millis(500);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An attempt that may start, with the event that was read from it already, if any.
 pub(crate) struct Started {
@@ -26,7 +26,7 @@
 }
 
 /// One of the places where the request waits.
-struct Runner {
+struct SubmittedAttempt {
     attempt: Attempt,
     prefilling: bool,
 }
@@ -35,19 +35,20 @@
 pub(crate) async fn start(
     shared: &Shared,
     request: &Request,
-    mut picks: Vec<Pick>,
+    mut targets: Vec<SelectedTarget>,
 ) -> Result<Started, Failure> {
-    let second = (picks.len() > 1).then(|| picks.remove(1));
-    let Some(first) = picks.pop() else {
+    let second = (targets.len() > 1).then(|| targets.remove(1));
+    let Some(first) = targets.pop() else {
         return Err(Failure::not_run(Reason::NoTarget, "no target in service can do this"));
     };
     match second {
-        Some(second) if !first.idle && !second.idle && second.site.peer.is_up() => {
+        Some(second) if !first.idle && !second.idle && second.configured.peer.is_connected() => {
             race(shared, request, &first, &second).await
         }
         // A target with room starts at once; waiting for its offer would only cost a round trip.
         Some(_) | None => {
-            let Runner { attempt, prefilling } = submit(shared, request, &first, false).await?;
+            let SubmittedAttempt { attempt, prefilling } =
+                submit(shared, request, &first, false).await?;
             Ok(Started { attempt, first: None, prefilling })
         }
     }
@@ -56,98 +57,98 @@
 async fn race(
     shared: &Shared,
     request: &Request,
-    first: &Pick,
-    second: &Pick,
+    first: &SelectedTarget,
+    second: &SelectedTarget,
 ) -> Result<Started, Failure> {
-    let left = submit(shared, request, first, true).await;
-    let right = submit(shared, request, second, true).await;
-    let (mut left, mut right) = match (left, right) {
-        (Ok(left), Ok(right)) => (left, right),
-        (Ok(one), Err(_)) | (Err(_), Ok(one)) => return alone(one).await,
+    let first_attempt = submit(shared, request, first, true).await;
+    let second_attempt = submit(shared, request, second, true).await;
+    let (mut first_attempt, mut second_attempt) = match (first_attempt, second_attempt) {
+        (Ok(first_attempt), Ok(second_attempt)) => (first_attempt, second_attempt),
+        (Ok(only), Err(_)) | (Err(_), Ok(only)) => return wait_for_offer(only).await,
         (Err(failure), Err(_)) => return Err(failure),
     };
     let (kind, mut winner, loser) = tokio::select! {
-        kind = left.attempt.next() => (kind, left, right),
-        kind = right.attempt.next() => (kind, right, left),
+        kind = first_attempt.attempt.next() => (kind, first_attempt, second_attempt),
+        kind = second_attempt.attempt.next() => (kind, second_attempt, first_attempt),
     };
-    match settle(&mut winner, kind).await {
+    match begin_if_offered(&mut winner, kind).await {
         // Dropping the loser cancels it before it was begun, so it can't start as well.
         Ok(first) => {
-            let Runner { attempt, prefilling } = winner;
+            let SubmittedAttempt { attempt, prefilling } = winner;
             Ok(Started { attempt, first, prefilling })
         }
-        Err(failure) if failure.progress == Progress::NotRun => alone(loser).await,
+        Err(failure) if failure.progress == Progress::NotRun => wait_for_offer(loser).await,
         Err(failure) => Err(failure),
     }
 }
 
 /// Waits for the offer of the only target left.
-async fn alone(mut runner: Runner) -> Result<Started, Failure> {
-    let kind = runner.attempt.next().await;
-    let first = settle(&mut runner, kind).await?;
-    let Runner { attempt, prefilling } = runner;
+async fn wait_for_offer(mut submitted: SubmittedAttempt) -> Result<Started, Failure> {
+    let kind = submitted.attempt.next().await;
+    let first = begin_if_offered(&mut submitted, kind).await?;
+    let SubmittedAttempt { attempt, prefilling } = submitted;
     Ok(Started { attempt, first, prefilling })
 }
 
 /// Begins a held attempt that was offered; returns an event that came instead of the offer.
-async fn settle(
-    runner: &mut Runner,
+async fn begin_if_offered(
+    submitted: &mut SubmittedAttempt,
     kind: Option<EventKind>,
 ) -> Result<Option<EventKind>, Failure> {
     match kind {
         Some(EventKind::Offer(_)) => {
-            if runner.attempt.begin().await {
+            if submitted.attempt.begin().await {
                 Ok(None)
             } else {
-                Err(Failure::lost(Progress::NotRun))
+                Err(Failure::connection_lost(Progress::NotRun))
             }
         }
-        Some(EventKind::Refusal(refusal)) => Err(Failure::refused(refusal)),
+        Some(EventKind::Refusal(refusal)) => Err(Failure::from_refusal(refusal)),
         Some(
             kind @ (EventKind::Delta(_)
             | EventKind::Head(_)
             | EventKind::Part(_)
             | EventKind::End(_)),
         ) => Ok(Some(kind)),
-        None => Err(Failure::lost(runner.attempt.progress())),
+        None => Err(Failure::connection_lost(submitted.attempt.progress())),
     }
 }
 
 async fn submit(
     shared: &Shared,
     request: &Request,
-    pick: &Pick,
+    target: &SelectedTarget,
     hold: bool,
-) -> Result<Runner, Failure> {
-    let site = &pick.site;
+) -> Result<SubmittedAttempt, Failure> {
+    let configured = &target.configured;
     let unreachable = |detail: &str| {
-        Failure::not_run(Reason::AgentUnreachable, format!("{}: {detail}", site.name))
+        Failure::not_run(Reason::AgentUnreachable, format!("{}: {detail}", configured.name))
     };
-    let session = site.peer.session(CONNECT_PATIENCE).await;
+    let session = configured.peer.session(CONNECT_TIMEOUT).await;
     let session = session.ok_or_else(|| unreachable("its agent can't be reached"))?;
     let mut request = request.clone();
-    let prefilling = mark_prefill(&mut request, pick);
-    let link = shared.peers.link();
-    let attempt = session.submit(link, site.name.clone(), request, hold).await;
+    let prefilling = set_prefill_only(&mut request, target);
+    let context = shared.peers.context();
+    let attempt = session.submit(context, configured.name.clone(), request, hold).await;
     let attempt = attempt.ok_or_else(|| unreachable("the connection to its agent was lost"))?;
     shared.metrics.attempts.inc();
-    Ok(Runner { attempt, prefilling })
+    Ok(SubmittedAttempt { attempt, prefilling })
 }
 
 /// Asks a prefill engine for the prompt's part only; returns whether it did.
-fn mark_prefill(request: &mut Request, pick: &Pick) -> bool {
+fn set_prefill_only(request: &mut Request, target: &SelectedTarget) -> bool {
     let Some(Work::Prompt(prompt)) = &mut request.work else { return false };
-    let prefilling = pick.role == Role::Prefill && prompt.resume_tokens == 0;
+    let prefilling = target.role == Role::Prefill && prompt.resume_tokens == 0;
     prompt.prefill_only = prefilling;
     prefilling
 }
 
 /// Says for an explanation where a prompt goes.
-pub(crate) fn describe(picks: &[Pick]) -> compact_str::CompactString {
+pub(crate) fn describe(targets: &[SelectedTarget]) -> compact_str::CompactString {
     let mut text = compact_str::CompactString::const_new("candidates");
-    for pick in picks {
-        let (name, wait) = (&pick.site.name, pick.ahead.time(&pick.rates).as_millis());
-        text += &format_compact!(" {name} (wait {wait} ms, idle {})", pick.idle);
+    for target in targets {
+        let (name, wait) = (&target.configured.name, target.ahead.time(&target.rates).as_millis());
+        text += &format_compact!(" {name} (wait {wait} ms, idle {})", target.idle);
     }
     text
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -10,22 +10,23 @@
 //! - [`Reason`] and [`Run`]: what callers are told of requests that get no answer.
 //! - [`Explanation`]: where a request was sent and why.
 
-mod ask;
+mod agent_queries;
 mod attempt;
 mod auth;
-mod board;
 mod bootstrap;
 mod calls;
+mod capacity;
 mod context;
-mod copies;
 mod daemon;
 mod decisions;
+mod duplicates;
 mod error;
 mod explain;
-mod gate;
 mod headers;
 mod heartbeat;
 mod inbox;
+mod late_binding;
+mod maintenance;
 mod members;
 mod metrics;
 mod outcome;
@@ -33,21 +34,20 @@
 mod peers;
 mod problem;
 mod processes;
-mod race;
 mod random;
 mod reason;
 mod relay;
 mod router;
 mod routes;
 mod session;
-mod upkeep;
+mod target_table;
 mod versions;
 mod view;
 
 pub use context::Context;
 pub use daemon::{Daemon, Entry};
 pub use error::{Error, Result};
-pub use explain::{Explanation, Report, Step};
-pub use outcome::Run;
+pub use explain::{AgentReport, Explanation, Step};
+pub use outcome::Execution;
 pub use processes::ProcessStatus;
 pub use reason::Reason;
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -28,14 +28,14 @@
     pub(crate) async fn run(self: Arc<Self>, vms: Arc<dyn VmList>) {
         loop {
             match vms.list().await {
-                Ok(list) => self.take(&list),
+                Ok(list) => self.apply(&list),
                 Err(error) => log::warn!(error:% = error; "vm-list-unread"),
             }
             tokio::time::sleep(READ_INTERVAL).await;
         }
     }
 
-    fn take(&self, list: &[plat::Vm]) {
+    fn apply(&self, list: &[plat::Vm]) {
         let leaving = list.iter().filter(|vm| match vm.phase {
             VmPhase::Leaving => true,
             VmPhase::Live => false,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -32,7 +32,7 @@
     /// Requests open now.
     pub(crate) open: Gauge,
     /// Streams cut because the caller read too slowly or vanished.
-    pub(crate) vanished: Counter,
+    pub(crate) vanished_callers: Counter,
     /// The end of the applied part of the config stream.
     pub(crate) config_offset: Gauge,
     /// Records of the config stream that are not applied yet.
@@ -54,7 +54,7 @@
             goodput_tokens: Counter::default(),
             prompt_tokens: Counter::default(),
             open: Gauge::default(),
-            vanished: Counter::default(),
+            vanished_callers: Counter::default(),
             config_offset: Gauge::default(),
             log_lag: Gauge::default(),
             log_age: Gauge::default(),
@@ -76,8 +76,8 @@
         let prompt = "Prompt tokens of completed answers";
         registry.register("prompt_tokens", prompt, self.prompt_tokens.clone());
         registry.register("open_requests", "Requests open now", self.open.clone());
-        let vanished = "Answers given up because the caller vanished or read too slowly";
-        registry.register("vanished_callers", vanished, self.vanished.clone());
+        let vanished_callers = "Answers given up because the caller vanished or read too slowly";
+        registry.register("vanished_callers", vanished_callers, self.vanished_callers.clone());
         let offset = "End of the applied part of the config stream";
         registry.register("config_offset_records", offset, self.config_offset.clone());
         let lag = "Records of the config stream that are not applied yet, as of the last read";
@@ -92,19 +92,19 @@
     }
 
     /// Counts a request that got no complete answer.
-    pub(crate) fn refused(&self, reason: Reason, run: crate::Run) {
-        let label = ReasonLabel { reason: reason.name(), run: run.name() };
+    pub(crate) fn request_refused(&self, reason: Reason, execution: crate::Execution) {
+        let label = ReasonLabel { reason: reason.name(), run: execution.name() };
         self.refusals.get_or_create(&label).inc();
     }
 
     /// Notes how long a whole answer took.
-    pub(crate) fn finished(&self, took: Duration) {
-        self.duration.observe(took.as_secs_f64());
+    pub(crate) fn record_duration(&self, duration: Duration) {
+        self.duration.observe(duration.as_secs_f64());
     }
 
     /// Notes how long the first token took.
-    pub(crate) fn first_token(&self, took: Duration) {
-        self.first_token.observe(took.as_secs_f64());
+    pub(crate) fn record_first_token(&self, duration: Duration) {
+        self.first_token.observe(duration.as_secs_f64());
     }
 
     /// The text that Prometheus reads.
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -10,7 +10,7 @@
 
 /// Whether a request was run, as callers are told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Run {
+pub enum Execution {
     /// Nothing of it reached a target, and nothing will.
     NotRun,
     /// It may not be repeated, and nobody can say whether it took effect.
@@ -19,13 +19,13 @@
     Run,
 }
 
-impl Run {
+impl Execution {
     /// The stable name that callers read.
     pub fn name(self) -> &'static str {
         match self {
-            Run::NotRun => "not-run",
-            Run::Unknown => "unknown",
-            Run::Run => "run",
+            Execution::NotRun => "not-run",
+            Execution::Unknown => "unknown",
+            Execution::Run => "run",
         }
     }
 }
@@ -50,45 +50,45 @@
     }
 
     /// The loss of the connection to an agent that may have begun the attempt.
-    pub(crate) fn lost(progress: Progress) -> Self {
+    pub(crate) fn connection_lost(progress: Progress) -> Self {
         let detail = "the connection to the target's agent was lost".to_owned();
         Self { reason: Reason::AgentLost, progress, retry_after: None, detail }
     }
 
     /// What an agent said when it gave an attempt up.
-    pub(crate) fn refused(refusal: Refusal) -> Self {
+    pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         let progress = refusal.progress();
-        let wait = Duration::from_millis(refusal.retry_after_ms);
+        let retry_after = Duration::from_millis(refusal.retry_after_ms);
         Self {
             reason: Reason::from_name(&refusal.reason),
             progress,
-            retry_after: (!wait.is_zero()).then_some(wait),
+            retry_after: (!retry_after.is_zero()).then_some(retry_after),
             detail: refusal.detail,
         }
     }
 
     /// The same failure with a time after which to come again.
-    pub(crate) fn retry_after(mut self, wait: Duration) -> Self {
-        self.retry_after = Some(wait);
+    pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
+        self.retry_after = Some(retry_after);
         self
     }
 }
 
 /// How far all attempts of one request have come together.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Trail {
+pub(crate) struct AttemptHistory {
     repeatable: bool,
     reached: bool,
 }
 
-impl Trail {
+impl AttemptHistory {
     /// Begins the trail of a request that may or may not be repeated.
     pub(crate) fn new(repeatable: bool) -> Self {
         Self { repeatable, reached: false }
     }
 
     /// Notes that an attempt is over and how far it came.
-    pub(crate) fn note(&mut self, progress: Progress) {
+    pub(crate) fn record(&mut self, progress: Progress) {
         self.reached |= match progress {
             Progress::NotRun => false,
             Progress::Unknown | Progress::Started => true,
@@ -101,11 +101,11 @@
     }
 
     /// What the caller is told if no further attempt is made.
-    pub(crate) fn run(&self) -> Run {
+    pub(crate) fn execution(&self) -> Execution {
         match (self.reached, self.repeatable) {
-            (false, _) => Run::NotRun,
-            (true, true) => Run::Run,
-            (true, false) => Run::Unknown,
+            (false, _) => Execution::NotRun,
+            (true, true) => Execution::Run,
+            (true, false) => Execution::Unknown,
         }
     }
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -13,7 +13,7 @@
 use wire::{AttemptId, Dialler, Key, Sighting};
 
 /// What all connections of an entry share.
-pub(crate) struct Link {
+pub(crate) struct PeerContext {
     pub(crate) dialler: Arc<dyn Dialler>,
     pub(crate) key: Key,
     pub(crate) name: CompactString,
@@ -23,22 +23,22 @@
     pub(crate) processes: Processes,
     next_attempt: AtomicU64,
     sighting: RwLock<Sighting>,
-    asked: Mutex<Option<Duration>>,
-    kept: AtomicUsize,
+    sightings_requested_at: Mutex<Option<Duration>>,
+    persistent: AtomicUsize,
 }
 
 /// All agents.
 pub(crate) struct Peers {
-    link: Arc<Link>,
-    known: RwLock<HashMap<CompactString, Known>>,
+    context: Arc<PeerContext>,
+    agents: RwLock<HashMap<CompactString, ConnectedPeer>>,
 }
 
-struct Known {
+struct ConnectedPeer {
     peer: Arc<Peer>,
     task: AbortHandle,
 }
 
-impl Link {
+impl PeerContext {
     /// Makes what the connections of the entry `name` share.
     pub(crate) fn new(
         dialler: Arc<dyn Dialler>,
@@ -50,7 +50,7 @@
         let incarnation = random.number();
         let sighting = Sighting { entry: name.to_string(), incarnation, ..Sighting::default() };
         let (next_attempt, sighting) = (AtomicU64::new(1), RwLock::new(sighting));
-        let (asked, kept) = (Mutex::default(), AtomicUsize::new(0));
+        let (sightings_requested_at, persistent) = (Mutex::default(), AtomicUsize::new(0));
         Self {
             dialler,
             key,
@@ -61,8 +61,8 @@
             processes: Processes::default(),
             next_attempt,
             sighting,
-            asked,
-            kept,
+            sightings_requested_at,
+            persistent,
         }
     }
 
@@ -75,64 +75,67 @@
     /// What the entry says of itself with each ping.
     pub(crate) fn sighting(&self) -> Sighting {
         /// Callers told about when there are many agents to tell.
-        const FEW_USAGES: usize = 4;
+        const MAX_USAGES: usize = 4;
         let mut sighting = self.sighting.read().unwrap_or_else(PoisonError::into_inner).clone();
-        if self.is_large() {
-            sighting.usages.truncate(FEW_USAGES);
+        if self.has_many_agents() {
+            sighting.usages.truncate(MAX_USAGES);
         }
         sighting
     }
 
     /// Whether an agent should be asked now which entries it hears from.
-    pub(crate) fn wants_sightings(&self) -> bool {
+    pub(crate) fn take_sightings_due(&self) -> bool {
         /// Each answer holds some 36 sightings of up to 0.4 KB at the size to design for, so that
         /// one every five seconds stays under 3 KB/s.
         const INTERVAL: Duration = Duration::from_secs(5);
         let now = self.decisions.now();
-        let mut asked = self.asked.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = asked.is_none_or(|asked| now.saturating_sub(asked) >= INTERVAL);
+        let mut sightings_requested_at =
+            self.sightings_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
+        let due = sightings_requested_at.is_none_or(|sightings_requested_at| {
+            now.saturating_sub(sightings_requested_at) >= INTERVAL
+        });
         if due {
-            *asked = Some(now);
+            *sightings_requested_at = Some(now);
         }
         due
     }
 
     /// Sets how many agents are kept in touch with.
-    pub(crate) fn set_kept(&self, kept: usize) {
-        self.kept.store(kept, Ordering::Relaxed);
+    pub(crate) fn set_persistent_count(&self, persistent: usize) {
+        self.persistent.store(persistent, Ordering::Relaxed);
     }
 
     /// How often an agent without open requests is pinged: its answers carry its load, so this
     /// bounds the load's age. With many agents it is longer, to stay under the 7 KB/s that control
     /// may cost: 48 agents every 4 s are 2.5 KB/s.
     pub(crate) fn ping_interval(&self) -> Duration {
-        match self.is_large() {
+        match self.has_many_agents() {
             true => Duration::from_secs(4),
             false => Duration::from_secs(1),
         }
     }
 
-    fn is_large(&self) -> bool {
+    fn has_many_agents(&self) -> bool {
         /// Agents up to which each is pinged every second with all that there is to tell.
-        const FEW: usize = 24;
-        self.kept.load(Ordering::Relaxed) > FEW
+        const FEW_AGENTS: usize = 24;
+        self.persistent.load(Ordering::Relaxed) > FEW_AGENTS
     }
 
     /// Changes what the entry says of itself.
-    pub(crate) fn show(&self, change: impl FnOnce(&mut Sighting)) {
+    pub(crate) fn update_sighting(&self, change: impl FnOnce(&mut Sighting)) {
         change(&mut self.sighting.write().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
 impl Peers {
     /// Makes the empty set.
-    pub(crate) fn new(link: Arc<Link>) -> Self {
-        Self { link, known: RwLock::default() }
+    pub(crate) fn new(context: Arc<PeerContext>) -> Self {
+        Self { context, agents: RwLock::default() }
     }
 
     /// What all connections share.
-    pub(crate) fn link(&self) -> &Arc<Link> {
-        &self.link
+    pub(crate) fn context(&self) -> &Arc<PeerContext> {
+        &self.context
     }
 
     /// The agent at `address`, which is connected to from now on.
@@ -145,36 +148,40 @@
 
     /// The agent at `address`, if it is known.
     pub(crate) fn find(&self, address: &CompactString) -> Option<Arc<Peer>> {
-        let known = self.known.read().unwrap_or_else(PoisonError::into_inner);
+        let known = self.agents.read().unwrap_or_else(PoisonError::into_inner);
         known.get(address).map(|known| known.peer.clone())
     }
 
     /// Keeps connections to `kept`, lets others close once they have no work, and forgets those
     /// not in `configured` that are closed.
-    pub(crate) fn keep(&self, kept: &HashSet<CompactString>, configured: &HashSet<CompactString>) {
-        self.link.set_kept(kept.len());
-        for address in kept {
+    pub(crate) fn update_persistent(
+        &self,
+        persistent: &HashSet<CompactString>,
+        configured: &HashSet<CompactString>,
+    ) {
+        self.context.set_persistent_count(persistent.len());
+        for address in persistent {
             if self.find(address).is_none() {
                 self.add(address, true);
             }
         }
-        let mut known = self.known.write().unwrap_or_else(PoisonError::into_inner);
+        let mut known = self.agents.write().unwrap_or_else(PoisonError::into_inner);
         known.retain(|address, known| {
-            known.peer.keep(kept.contains(address));
-            let stays = configured.contains(address) || known.peer.is_up();
-            if !stays {
+            known.peer.set_persistent(persistent.contains(address));
+            let retained = configured.contains(address) || known.peer.is_connected();
+            if !retained {
                 known.task.abort();
             }
-            stays
+            retained
         });
     }
 
-    fn add(&self, address: &CompactString, kept: bool) -> Arc<Peer> {
-        let mut known = self.known.write().unwrap_or_else(PoisonError::into_inner);
+    fn add(&self, address: &CompactString, persistent: bool) -> Arc<Peer> {
+        let mut known = self.agents.write().unwrap_or_else(PoisonError::into_inner);
         let known = known.entry(address.clone()).or_insert_with(|| {
-            let peer = Arc::new(Peer::new(address.clone(), kept));
-            let task = tokio::spawn(peer.clone().run(self.link.clone())).abort_handle();
-            Known { peer, task }
+            let peer = Arc::new(Peer::new(address.clone(), persistent));
+            let task = tokio::spawn(peer.clone().run(self.context.clone())).abort_handle();
+            ConnectedPeer { peer, task }
         });
         known.peer.clone()
     }
@@ -182,7 +189,7 @@
 
 impl Drop for Peers {
     fn drop(&mut self) {
-        let known = self.known.get_mut().unwrap_or_else(PoisonError::into_inner);
+        let known = self.agents.get_mut().unwrap_or_else(PoisonError::into_inner);
         known.values().for_each(|known| known.task.abort());
     }
 }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -2,7 +2,7 @@
 //! OpenAI's error object on its routes.
 
 use crate::Reason;
-use crate::outcome::{Failure, Run, Trail};
+use crate::outcome::{AttemptHistory, Execution, Failure};
 use salvo::Response;
 use salvo::http::{HeaderValue, header};
 use serde_json::json;
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Problem {
     pub(crate) reason: Reason,
-    pub(crate) run: Run,
+    pub(crate) execution: Execution,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) detail: String,
 }
@@ -20,24 +20,25 @@
 impl Problem {
     /// A request that was refused before any attempt.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
-        Self::new(Failure::not_run(reason, detail), &Trail::new(true))
+        Self::new(Failure::not_run(reason, detail), &AttemptHistory::new(true))
     }
 
     /// A request whose last attempt failed, after those on the trail.
-    pub(crate) fn new(failure: Failure, trail: &Trail) -> Self {
-        let mut trail = *trail;
-        trail.note(failure.progress);
+    pub(crate) fn new(failure: Failure, history: &AttemptHistory) -> Self {
+        let mut history = *history;
+        history.record(failure.progress);
         let Failure { reason, retry_after, detail, .. } = failure;
         // That its answer is gone does not make it unknown whether such a call ran.
-        let run = if reason == Reason::AnswerNotKept { Run::Run } else { trail.run() };
-        Self { reason, run, retry_after, detail }
+        let execution =
+            if reason == Reason::AnswerNotKept { Execution::Run } else { history.execution() };
+        Self { reason, execution, retry_after, detail }
     }
 
     /// The body on OpenAI's routes.
     pub(crate) fn openai(&self) -> serde_json::Value {
         json!({"error": {
             "message": self.detail, "type": "lapismast", "code": self.reason.name(),
-            "run": self.run.name(),
+            "run": self.execution.name(),
         }})
     }
 
@@ -47,7 +48,7 @@
         json!({
             "type": format!("urn:lapismast:{name}"), "title": name,
             "status": self.reason.status().as_u16(), "detail": self.detail,
-            "reason": name, "run": self.run.name(),
+            "reason": name, "run": self.execution.name(),
         })
     }
 
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -32,14 +32,14 @@
 }
 
 /// After what silence an entry counts as gone: several of the rounds in which agents are asked.
-const ENTRY_SILENCE: Duration = Duration::from_secs(20);
+const ENTRY_EXPIRY: Duration = Duration::from_secs(20);
 
 impl Processes {
     /// Notes what the agent at an address says.
-    pub(crate) fn hear_agent(&self, address: &CompactString, load: &Load) {
+    pub(crate) fn observe_agent(&self, address: &CompactString, load: &Load) {
         let mut agents = self.agents();
         match agents.get_mut(address) {
-            Some(heard) => *heard = (load.clone(), Instant::now()),
+            Some(reported) => *reported = (load.clone(), Instant::now()),
             None => {
                 agents.insert(address.clone(), (load.clone(), Instant::now()));
             }
@@ -47,17 +47,17 @@
     }
 
     /// Notes what an agent says of the entries that it hears.
-    pub(crate) fn hear_entries(&self, sightings: &[Sighting]) {
+    pub(crate) fn observe_entries(&self, sightings: &[Sighting]) {
         let now = Instant::now();
         let mut entries = self.entries();
         for sighting in sightings {
             let age = Duration::from_millis(sighting.age_ms);
             let at = now.checked_sub(age).unwrap_or(now);
-            let heard = (sighting.config_offset, at);
-            let known = entries.entry(sighting.entry.to_compact_string()).or_insert(heard);
+            let reported = (sighting.config_offset, at);
+            let known = entries.entry(sighting.entry.to_compact_string()).or_insert(reported);
             // Several agents tell of one entry; an old sighting must not replace a newer one.
             if at >= known.1 {
-                *known = heard;
+                *known = reported;
             }
         }
     }
@@ -75,16 +75,16 @@
     }
 
     /// The entries that were heard of lately.
-    pub(crate) fn entries_heard(&self) -> Vec<ProcessStatus> {
+    pub(crate) fn recent_entries(&self) -> Vec<ProcessStatus> {
         let mut entries = self.entries();
-        entries.retain(|_, (_, at)| at.elapsed() < ENTRY_SILENCE);
-        let heard = entries.iter().map(|(name, (offset, at))| ProcessStatus {
+        entries.retain(|_, (_, at)| at.elapsed() < ENTRY_EXPIRY);
+        let reported = entries.iter().map(|(name, (offset, at))| ProcessStatus {
             name: name.clone(),
             config_offset: *offset,
             age: at.elapsed(),
             load: None,
         });
-        heard.collect()
+        reported.collect()
     }
 
     fn agents(&self) -> MutexGuard<'_, HashMap<CompactString, (Load, Instant)>> {
--- a/crates/entry/src/random.rs
+++ b/crates/entry/src/random.rs
@@ -25,9 +25,9 @@
     }
 
     /// A time between half of `most` and `most`, so that many waiters do not come back at once.
-    pub(crate) fn jitter(&self, most: Duration) -> Duration {
+    pub(crate) fn jitter(&self, max: Duration) -> Duration {
         const STEPS: u32 = 1_024;
         let step = u32::try_from(self.number() % u64::from(STEPS)).unwrap_or_default();
-        most / 2 + most * step / (2 * STEPS)
+        max / 2 + max * step / (2 * STEPS)
     }
 }
--- a/crates/entry/src/reason.rs
+++ b/crates/entry/src/reason.rs
@@ -105,7 +105,7 @@
 
 impl Reason {
     /// Whether another target may do what one did not, for this reason.
-    pub(crate) fn may_differ_elsewhere(self) -> bool {
+    pub(crate) fn may_succeed_elsewhere(self) -> bool {
         match self {
             Reason::NoTarget
             | Reason::AgentUnreachable
@@ -148,7 +148,7 @@
     }
 
     /// Whether the target failed, and was not merely full or the wrong one.
-    pub(crate) fn is_targets_fault(self) -> bool {
+    pub(crate) fn is_target_fault(self) -> bool {
         matches!(
             self,
             Reason::AgentUnreachable
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -1,8 +1,8 @@
 //! Where a request goes: what it needs, put to the board of targets.
 
-use crate::board::{Pick, Wanted, service_key};
 use crate::daemon::Shared;
-use crate::view::Site;
+use crate::target_table::{Criteria, SelectedTarget, service_key};
+use crate::view::ConfiguredTarget;
 use conf::Name;
 use policy::estimate::Cost;
 use policy::route::{Query, Stage};
@@ -13,35 +13,39 @@
 ///
 /// A fresh prompt goes to a prefill or mixed engine, a resumed one to a decode or mixed engine;
 /// an engine of the wrong role is better than none.
-pub(crate) fn for_prompt(shared: &Shared, prompt: &Prompt, tried: &[Name]) -> Vec<Pick> {
-    let (stage, or_else) = match prompt.resume_tokens {
+pub(crate) fn for_prompt(shared: &Shared, prompt: &Prompt, tried: &[Name]) -> Vec<SelectedTarget> {
+    let (stage, fallback_stage) = match prompt.resume_tokens {
         0 => (Stage::Prefill, Stage::Decode),
         _ => (Stage::Decode, Stage::Prefill),
     };
     let query = query(shared, prompt, stage);
-    let wanted = Wanted { query, or_else: &[or_else], tried };
+    let criteria = Criteria { query, fallback_stages: &[fallback_stage], tried };
     let decisions = &shared.decisions;
-    decisions.board.choose(&wanted, decisions.now(), decisions.random())
+    decisions.targets.choose(&criteria, decisions.now(), decisions.random())
 }
 
 /// The one target for a prompt that was running when a target crashed, whichever entry its caller
 /// sends it to: there it runs alone, and takes down nothing else.
-pub(crate) fn for_suspect(shared: &Shared, prompt: &Prompt, fingerprint: u64) -> Vec<Pick> {
+pub(crate) fn for_suspect(
+    shared: &Shared,
+    prompt: &Prompt,
+    fingerprint: u64,
+) -> Vec<SelectedTarget> {
     let query = query(shared, prompt, Stage::Whole);
     let system = shared.system.borrow().clone();
     let crashes = system.suspect(fingerprint).into_iter().flat_map(|suspect| suspect.crashes());
     let crashed: Vec<Name> = crashes.map(|crash| crash.target.clone()).collect();
-    let board = &shared.decisions.board;
-    board.rendezvous(&prompt.model, &query, fingerprint, &crashed).into_iter().collect()
+    let targets = &shared.decisions.targets;
+    targets.rendezvous(&prompt.model, &query, fingerprint, &crashed).into_iter().collect()
 }
 
 /// The best targets for a call that may be repeated, best first, at most two.
-pub(crate) fn for_call(shared: &Shared, service: &str, tried: &[Name]) -> Vec<Pick> {
+pub(crate) fn for_call(shared: &Shared, service: &str, tried: &[Name]) -> Vec<SelectedTarget> {
     let domain = policy::hash(&shared.domain);
     let query = Query { serves: service_key(service), domain, ..Query::default() };
-    let wanted = Wanted { query, or_else: &[], tried };
+    let criteria = Criteria { query, fallback_stages: &[], tried };
     let decisions = &shared.decisions;
-    decisions.board.choose(&wanted, decisions.now(), decisions.random())
+    decisions.targets.choose(&criteria, decisions.now(), decisions.random())
 }
 
 /// The home of a key: the one target that runs the call, by rendezvous hash over the targets that
@@ -49,19 +53,24 @@
 ///
 /// Were it over the live ones, two entries that see different ones alive would send a call to two
 /// targets. The log would still let only one run it, but the caller would be refused for nothing.
-pub(crate) fn home(shared: &Shared, service: &str, caller: &str, key: &str) -> Option<Arc<Site>> {
+pub(crate) fn target_for_key(
+    shared: &Shared,
+    service: &str,
+    caller: &str,
+    key: &str,
+) -> Option<Arc<ConfiguredTarget>> {
     use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
     let view = shared.view.borrow().clone();
     let seed = xxh3_64(format!("{service}\n{caller}\n{key}").as_bytes());
-    let sites = view.service(service)?.sites.iter().filter(|site| site.is_active());
-    sites.max_by_key(|site| xxh3_64_with_seed(site.name.as_bytes(), seed)).cloned()
+    let targets = view.service(service)?.targets.iter().filter(|target| target.is_active());
+    targets.max_by_key(|target| xxh3_64_with_seed(target.name.as_bytes(), seed)).cloned()
 }
 
 fn query(shared: &Shared, prompt: &Prompt, stage: Stage) -> Query {
-    let left = prompt.expected_tokens.saturating_sub(prompt.resume_tokens).max(1);
+    let remaining_tokens = prompt.expected_tokens.saturating_sub(prompt.resume_tokens).max(1);
     Query {
         serves: policy::hash(&served_name(&prompt.model, &prompt.version, &prompt.adapter)),
-        cost: Cost::new(u64::from(prompt.prompt_tokens), u64::from(left)),
+        cost: Cost::new(u64::from(prompt.prompt_tokens), u64::from(remaining_tokens)),
         prefix: prompt.prefix,
         domain: policy::hash(&shared.domain),
         stage,
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,11 +1,11 @@
 //! The routes for callers.
 
-mod answer;
+mod admission;
 mod completions;
 mod fallible;
 mod health;
-mod intake;
 mod models;
+mod openai;
 mod services;
 mod sse;
 mod trace;
@@ -19,12 +19,12 @@
 
 /// All routes for callers.
 pub(crate) fn router(shared: Arc<Shared>) -> Router {
-    use answer::Shape;
     use completions::Completions;
     use fallible::Fallible;
+    use openai::Endpoint;
     let at = |path: &str| Router::with_path(path.to_owned());
-    let chat = Completions { shared: shared.clone(), shape: Shape::Chat };
-    let text = Completions { shared: shared.clone(), shape: Shape::Text };
+    let chat = Completions { shared: shared.clone(), endpoint: Endpoint::Chat };
+    let text = Completions { shared: shared.clone(), endpoint: Endpoint::Text };
     let services = services::Services { shared: shared.clone() };
     Router::new()
         .hoop(trace::Trace { shared: shared.clone() })
@@ -35,14 +35,14 @@
         .push(at("healthz").get(health::Healthz))
         .push(at("readyz").get(health::Readyz { shared: shared.clone() }))
         .push(at("metrics").get(health::Metrics { shared }))
-        .push(at("{**rest}").goal(Nowhere))
+        .push(at("{**rest}").goal(NotFound))
 }
 
 /// Answers all other paths.
-struct Nowhere;
+struct NotFound;
 
 #[async_trait]
-impl Handler for Nowhere {
+impl Handler for NotFound {
     async fn handle(
         &self,
         _: &mut Request,
--- a/crates/entry/src/routes/intake.rs
+++ b/crates/entry/src/routes/admission.rs
@@ -2,11 +2,11 @@
 //! held here, and its body, within limits of size and time.
 
 use super::trace;
+use crate::capacity::CapacityGuard;
 use crate::daemon::Shared;
-use crate::gate::Pass;
 use crate::outcome::Failure;
 use crate::problem::Problem;
-use crate::view::Client;
+use crate::view::ConfiguredCaller;
 use crate::{Reason, auth, headers};
 use bytes::Bytes;
 use salvo::http::{HeaderMap, ParseError, header};
@@ -27,12 +27,12 @@
 pub(super) struct Admitted {
     /// The request, without its work.
     pub(super) request: wire::Request,
-    pub(super) client: Arc<Client>,
+    pub(super) caller: Arc<ConfiguredCaller>,
     pub(super) body: Bytes,
     /// How long the caller waits.
-    pub(super) patience: Duration,
+    pub(super) time_limit: Duration,
     /// Held until the answer is complete.
-    pub(super) pass: Pass,
+    pub(super) guard: CapacityGuard,
 }
 
 /// Lets a request in with a body of up to `most` bytes, or says why not.
@@ -40,73 +40,77 @@
     shared: &Shared,
     http: &mut Request,
     depot: &Depot,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<Admitted, Problem> {
     let bad_header = |detail: &str| Problem::not_run(Reason::BadHeader, detail);
-    if let Some(fault) = headers::fault(http.headers()) {
-        return Err(bad_header(fault));
+    if let Some(violation) = headers::violation(http.headers()) {
+        return Err(bad_header(violation));
     }
-    let client = identify(shared, http.headers())?;
-    let patience = patience(http.headers(), &client).ok_or_else(|| {
+    let caller = authenticate(shared, http.headers())?;
+    let time_limit = time_limit(http.headers(), &caller).ok_or_else(|| {
         bad_header("x-deadline-ms is a number of milliseconds, from 1 to 3600000")
     })?;
-    let size = announced(http.headers(), most)?;
-    let pass = shared.gate.enter(size);
-    let pass = pass.map_err(|failure| Problem::new(failure, &crate::outcome::Trail::new(true)))?;
-    let body = read(http, size).await?;
+    let size = declared_body_size(http.headers(), max_bytes)?;
+    let guard = shared.capacity.acquire(size);
+    let guard = guard
+        .map_err(|failure| Problem::new(failure, &crate::outcome::AttemptHistory::new(true)))?;
+    let body = read_body(http, size).await?;
     let header = |name: &str| http.headers().get(name).and_then(|value| value.to_str().ok());
     let request = wire::Request {
-        id: trace::id(depot).into(),
-        caller: client.name.to_string(),
-        urgent: client.spec.urgent && header("x-urgency") == Some("urgent"),
-        fingerprint: fingerprint(&client, http.uri().path(), &body),
+        id: trace::request_id(depot).into(),
+        caller: caller.name.to_string(),
+        urgent: caller.spec.urgent && header("x-urgency") == Some("urgent"),
+        fingerprint: fingerprint(&caller, http.uri().path(), &body),
         traceparent: header("traceparent").filter(|text| is_traceparent(text)).unwrap_or("").into(),
         ..wire::Request::default()
     };
-    Ok(Admitted { request, client, body, patience, pass })
+    Ok(Admitted { request, caller, body, time_limit, guard })
 }
 
 /// Finds the caller by the bearer token.
-pub(super) fn identify(shared: &Shared, headers: &HeaderMap) -> Result<Arc<Client>, Problem> {
+pub(super) fn authenticate(
+    shared: &Shared,
+    headers: &HeaderMap,
+) -> Result<Arc<ConfiguredCaller>, Problem> {
     let view = shared.view.borrow().clone();
     if view.end == 0 {
         let failure = Failure::not_run(Reason::NotReady, "the configuration is not known yet");
-        let failure = failure.retry_after(Duration::from_secs(1));
-        return Err(Problem::new(failure, &crate::outcome::Trail::new(true)));
+        let failure = failure.with_retry_after(Duration::from_secs(1));
+        return Err(Problem::new(failure, &crate::outcome::AttemptHistory::new(true)));
     }
     let authorization = headers.get(header::AUTHORIZATION).map(|value| value.as_bytes());
-    let client = auth::caller(&view, authorization);
+    let caller = auth::caller(&view, authorization);
     let unknown = || Problem::not_run(Reason::UnknownCaller, "no caller has this bearer token");
-    client.ok_or_else(unknown)
+    caller.ok_or_else(unknown)
 }
 
-fn patience(headers: &HeaderMap, client: &Client) -> Option<Duration> {
-    let Some(value) = headers.get("x-deadline-ms") else { return Some(client.spec.deadline) };
+fn time_limit(headers: &HeaderMap, caller: &ConfiguredCaller) -> Option<Duration> {
+    let Some(value) = headers.get("x-deadline-ms") else { return Some(caller.spec.deadline) };
     let millis: u64 = value.to_str().ok()?.parse().ok()?;
-    let asked = Duration::from_millis(millis);
-    (millis > 0 && asked <= MAX_DEADLINE).then_some(asked)
+    let requested = Duration::from_millis(millis);
+    (millis > 0 && requested <= MAX_DEADLINE).then_some(requested)
 }
 
 /// Bytes to set aside for the body.
-fn announced(headers: &HeaderMap, most: usize) -> Result<usize, Problem> {
+fn declared_body_size(headers: &HeaderMap, max_bytes: usize) -> Result<usize, Problem> {
     let Some(length) = headers.get(header::CONTENT_LENGTH) else {
-        return Ok(most.min(UNSIZED_BODY_BYTES));
+        return Ok(max_bytes.min(UNSIZED_BODY_BYTES));
     };
     let length = length.to_str().ok().and_then(|text| text.parse::<usize>().ok());
     match length {
-        Some(length) if length <= most => Ok(length),
-        Some(_) => Err(too_large(most)),
+        Some(length) if length <= max_bytes => Ok(length),
+        Some(_) => Err(too_large(max_bytes)),
         None => Err(Problem::not_run(Reason::BadHeader, "content-length is no number")),
     }
 }
 
-async fn read(http: &mut Request, most: usize) -> Result<Bytes, Problem> {
+async fn read_body(http: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
     // A caller that sends its body a byte at a time would hold memory for hours.
-    let body = tokio::time::timeout(BODY_TIMEOUT, http.payload_with_max_size(most)).await;
-    let late = || Problem::not_run(Reason::BodyTimeout, "the body took too long to arrive");
-    match body.map_err(|_| late())? {
+    let body = tokio::time::timeout(BODY_TIMEOUT, http.payload_with_max_size(max_bytes)).await;
+    let timed_out = || Problem::not_run(Reason::BodyTimeout, "the body took too long to arrive");
+    match body.map_err(|_| timed_out())? {
         Ok(body) => Ok(body.clone()),
-        Err(ParseError::PayloadTooLarge) => Err(too_large(most)),
+        Err(ParseError::PayloadTooLarge) => Err(too_large(max_bytes)),
         Err(error) => Err(Problem::not_run(Reason::BadBody, error.to_string())),
     }
 }
@@ -116,9 +120,9 @@
 }
 
 /// A hash of caller, path and content: the same each time the caller sends the same request.
-fn fingerprint(client: &Client, path: &str, body: &[u8]) -> u64 {
+fn fingerprint(caller: &ConfiguredCaller, path: &str, body: &[u8]) -> u64 {
     use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
-    let seed = xxh3_64_with_seed(path.as_bytes(), xxh3_64(client.name.as_bytes()));
+    let seed = xxh3_64_with_seed(path.as_bytes(), xxh3_64(caller.name.as_bytes()));
     xxh3_64_with_seed(body, seed)
 }
 
--- a/crates/entry/src/routes/completions.rs
+++ b/crates/entry/src/routes/completions.rs
@@ -1,12 +1,12 @@
 //! `POST /v1/chat/completions` and `POST /v1/completions`, in OpenAI's shapes.
 
-use super::answer::{Answer, Shape};
+use super::admission::{self, Admitted};
 use super::fallible::Serve;
-use super::intake::{self, Admitted};
-use super::sse::{EventId, Streaming, tokens_of};
+use super::openai::{Endpoint, ResponseFormat};
+use super::sse::{EventId, ResponseStream, total_tokens};
 use crate::Reason;
 use crate::daemon::Shared;
-use crate::outcome::Trail;
+use crate::outcome::AttemptHistory;
 use crate::problem::Problem;
 use crate::relay::{Deadline, Piece, Relay};
 use async_trait::async_trait;
@@ -25,7 +25,7 @@
 /// Generates answers.
 pub(super) struct Completions {
     pub(super) shared: Arc<Shared>,
-    pub(super) shape: Shape,
+    pub(super) endpoint: Endpoint,
 }
 
 /// The largest body accepted, in bytes.
@@ -41,7 +41,7 @@
 const PREFIX_BYTES: usize = 256;
 
 /// How long a caller that goes on with an answer waits for a connection to the agent.
-const ATTACH_PATIENCE: Duration = Duration::from_secs(1);
+const ATTACH_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What we read of a body; the rest is handed to the engine as sampling parameters.
 #[derive(Debug, Deserialize)]
@@ -89,44 +89,45 @@
         depot: &Depot,
         response: &mut Response,
     ) -> Result<(), Problem> {
-        let begun = Instant::now();
-        let admitted = intake::admit(&self.shared, http, depot, MAX_BODY_BYTES).await?;
+        let started_at = Instant::now();
+        let admitted = admission::admit(&self.shared, http, depot, MAX_BODY_BYTES).await?;
         let body: Body = serde_json::from_slice(&admitted.body)
             .map_err(|error| Problem::not_run(Reason::BadBody, error.to_string()))?;
         let last_event = last_event(http.headers())?;
-        let Admitted { mut request, client, patience, mut pass, .. } = admitted;
+        let Admitted { mut request, caller, time_limit, mut guard, .. } = admitted;
         if let Some(event) = &last_event {
             request.id.clone_from(&event.request);
         }
-        let answer = Answer {
+        let format = ResponseFormat {
             id: request.id.clone(),
             model: body.model.clone(),
-            shape: self.shape,
+            endpoint: self.endpoint,
             include_usage: body.stream_options.include_usage,
         };
-        let streamed = body.stream;
-        let (asked, deadline) = (body.model.clone(), begun + patience);
-        let deadline = match streamed {
+        let is_stream = body.stream;
+        let (requested_model, deadline) = (body.model.clone(), started_at + time_limit);
+        let deadline = match is_stream {
             true => Deadline::FirstToken(deadline),
             false => Deadline::Complete(deadline),
         };
         let prompt = self.prompt(body, &request.caller)?;
         let cost = Cost::new(u64::from(prompt.prompt_tokens), u64::from(prompt.expected_tokens));
-        let booked = pass.book(&self.shared.decisions, &client, cost);
-        booked.map_err(|failure| Problem::new(failure, &Trail::new(true)))?;
-        let account = self.shared.accounts.open(&request.id, &request.caller, &asked);
-        let caller = request.caller.clone();
-        let mut relay = Relay::new(self.shared.clone(), request, prompt, account, deadline);
+        let reserved = guard.reserve(&self.shared.decisions, &caller, cost);
+        reserved.map_err(|failure| Problem::new(failure, &AttemptHistory::new(true)))?;
+        let recorder =
+            self.shared.explanations.start(&request.id, &request.caller, &requested_model);
+        let caller_name = request.caller.clone();
+        let mut relay = Relay::new(self.shared.clone(), request, prompt, recorder, deadline);
         if let Some(event) = last_event {
-            relay = self.attach(relay, event, caller).await?;
+            relay = self.attach(relay, event, caller_name).await?;
         }
-        if streamed {
+        if is_stream {
             let first = relay.next().await?;
             let shared = self.shared.clone();
-            let streaming = Streaming { shared, answer, relay, pass, begun };
-            let kind = HeaderValue::from_static("text/event-stream");
-            response.headers_mut().insert(header::CONTENT_TYPE, kind);
-            response.stream(streaming.start(first).boxed());
+            let stream = ResponseStream { shared, format, relay, guard, started_at };
+            let content_type = HeaderValue::from_static("text/event-stream");
+            response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+            response.stream(stream.start(first).boxed());
         } else {
             let mut text = String::new();
             let end = loop {
@@ -135,9 +136,9 @@
                     Piece::End(end) => break end,
                 }
             };
-            pass.used(tokens_of(&end));
-            self.shared.metrics.finished(begun.elapsed());
-            response.render(Json(answer.complete(&text, &end)));
+            guard.set_used_tokens(total_tokens(&end));
+            self.shared.metrics.record_duration(started_at.elapsed());
+            response.render(Json(format.complete(&text, &end)));
         }
         Ok(())
     }
@@ -150,21 +151,21 @@
     async fn attach(&self, relay: Relay, event: EventId, caller: String) -> Result<Relay, Problem> {
         let unknown = || Problem::not_run(Reason::UnknownAnswer, "you have no answer of this id");
         let view = self.shared.view.borrow().clone();
-        let site = view.target(&event.target).ok_or_else(unknown)?;
-        let session = site.peer.session(ATTACH_PATIENCE).await.ok_or_else(unknown)?;
+        let target = view.target(&event.target).ok_or_else(unknown)?;
+        let session = target.peer.session(ATTACH_TIMEOUT).await.ok_or_else(unknown)?;
         let attach =
             Attach { request: event.request, caller, from_token: event.token, ..Attach::default() };
-        let link = self.shared.peers.link();
-        let attempt = session.attach(link, site.name.clone(), attach).await;
+        let context = self.shared.peers.context();
+        let attempt = session.attach(context, target.name.clone(), attach).await;
         Ok(relay.attached(attempt.ok_or_else(unknown)?, event.token))
     }
 
     fn prompt(&self, body: Body, caller: &str) -> Result<Prompt, Problem> {
-        let text = match self.shape {
-            Shape::Text => body.prompt,
-            Shape::Chat => {
-                let lines = body.messages.iter().map(|m| format!("{}: {}\n", m.role, m.content));
-                lines.collect::<String>() + "assistant:"
+        let text = match self.endpoint {
+            Endpoint::Text => body.prompt,
+            Endpoint::Chat => {
+                let messages = body.messages.iter().map(|m| format!("{}: {}\n", m.role, m.content));
+                messages.collect::<String>() + "assistant:"
             }
         };
         let max_tokens =
@@ -182,14 +183,14 @@
         let decisions = &self.shared.decisions;
         let cost = decisions.cost(caller, name, prompt_tokens, max_tokens);
         let version = match version {
-            "" => decisions.versions.choose(&decisions.board, name, &model.version, adapter),
+            "" => decisions.versions.choose(&decisions.targets, name, &model.version, adapter),
             named => named.into(),
         };
         Ok(Prompt {
             model: name.to_owned(),
             version: version.to_string(),
             adapter: adapter.to_owned(),
-            prefix: prefix(&text),
+            prefix: prefix_hash(&text),
             text,
             prompt_tokens,
             max_tokens,
@@ -201,7 +202,7 @@
 }
 
 /// A hash of a prompt's beginning.
-fn prefix(text: &str) -> u64 {
+fn prefix_hash(text: &str) -> u64 {
     let bytes = text.as_bytes();
     xxhash_rust::xxh3::xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
--- a/crates/entry/src/routes/fallible.rs
+++ b/crates/entry/src/routes/fallible.rs
@@ -36,7 +36,7 @@
         _: &mut FlowCtrl,
     ) {
         if let Err(problem) = self.0.serve(request, depot, response).await {
-            self.0.shared().metrics.refused(problem.reason, problem.run);
+            self.0.shared().metrics.request_refused(problem.reason, problem.execution);
             self.0.render(problem, response);
         }
     }
--- a/crates/entry/src/routes/models.rs
+++ b/crates/entry/src/routes/models.rs
@@ -1,6 +1,6 @@
 //! `GET /v1/models`.
 
-use super::intake;
+use super::admission;
 use crate::daemon::Shared;
 use async_trait::async_trait;
 use salvo::writing::Json;
@@ -22,7 +22,7 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        if let Err(problem) = intake::identify(&self.shared, request.headers()) {
+        if let Err(problem) = admission::authenticate(&self.shared, request.headers()) {
             return problem.render_openai(response);
         }
         let view = self.shared.view.borrow().clone();
--- a/crates/entry/src/routes/answer.rs
+++ b/crates/entry/src/routes/openai.rs
@@ -5,7 +5,7 @@
 
 /// Which of the two routes it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Shape {
+pub(super) enum Endpoint {
     /// `POST /v1/chat/completions`.
     Chat,
     /// `POST /v1/completions`.
@@ -14,19 +14,21 @@
 
 /// The form of one answer.
 #[derive(Clone)]
-pub(super) struct Answer {
+pub(super) struct ResponseFormat {
     pub(super) id: String,
     pub(super) model: String,
-    pub(super) shape: Shape,
+    pub(super) endpoint: Endpoint,
     pub(super) include_usage: bool,
 }
 
-impl Answer {
+impl ResponseFormat {
     /// The server-sent event of a piece of text.
     pub(super) fn chunk(&self, id: &str, text: &str) -> String {
-        let choice = match self.shape {
-            Shape::Chat => json!({"index": 0, "delta": {"content": text}, "finish_reason": null}),
-            Shape::Text => json!({"index": 0, "text": text, "finish_reason": null}),
+        let choice = match self.endpoint {
+            Endpoint::Chat => {
+                json!({"index": 0, "delta": {"content": text}, "finish_reason": null})
+            }
+            Endpoint::Text => json!({"index": 0, "text": text, "finish_reason": null}),
         };
         format!("id: {id}\ndata: {}\n\n", self.envelope(".chunk", vec![choice]))
     }
@@ -34,9 +36,9 @@
     /// The server-sent events that end a stream.
     pub(super) fn last(&self, end: &End) -> String {
         let reason = finish(end);
-        let choice = match self.shape {
-            Shape::Chat => json!({"index": 0, "delta": {}, "finish_reason": reason}),
-            Shape::Text => json!({"index": 0, "text": "", "finish_reason": reason}),
+        let choice = match self.endpoint {
+            Endpoint::Chat => json!({"index": 0, "delta": {}, "finish_reason": reason}),
+            Endpoint::Text => json!({"index": 0, "text": "", "finish_reason": reason}),
         };
         let mut events = format!("data: {}\n\n", self.envelope(".chunk", vec![choice]));
         if self.include_usage {
@@ -50,22 +52,22 @@
     /// The body of a whole answer.
     pub(super) fn complete(&self, text: &str, end: &End) -> Value {
         let reason = finish(end);
-        let choice = match self.shape {
-            Shape::Chat => json!({
+        let choice = match self.endpoint {
+            Endpoint::Chat => json!({
                 "index": 0, "message": {"role": "assistant", "content": text},
                 "finish_reason": reason,
             }),
-            Shape::Text => json!({"index": 0, "text": text, "finish_reason": reason}),
+            Endpoint::Text => json!({"index": 0, "text": text, "finish_reason": reason}),
         };
-        let mut whole = self.envelope("", vec![choice]);
-        whole["usage"] = usage(end);
-        whole
+        let mut response = self.envelope("", vec![choice]);
+        response["usage"] = usage(end);
+        response
     }
 
     fn envelope(&self, suffix: &str, choices: Vec<Value>) -> Value {
-        let object = match self.shape {
-            Shape::Chat => format!("chat.completion{suffix}"),
-            Shape::Text => "text_completion".to_owned(),
+        let object = match self.endpoint {
+            Endpoint::Chat => format!("chat.completion{suffix}"),
+            Endpoint::Text => "text_completion".to_owned(),
         };
         json!({"id": self.id, "object": object, "model": self.model, "choices": choices})
     }
--- a/crates/entry/src/routes/services.rs
+++ b/crates/entry/src/routes/services.rs
@@ -1,12 +1,12 @@
 //! `ANY /services/NAME/...`: calls of plain services.
 
+use super::admission::{self, Admitted};
 use super::fallible::Serve;
-use super::intake::{self, Admitted};
 use crate::attempt::Attempt;
-use crate::calls::{Answer, Errand};
+use crate::calls::{ServiceCall, ServiceResponse};
+use crate::capacity::CapacityGuard;
 use crate::daemon::Shared;
-use crate::gate::Pass;
-use crate::outcome::Trail;
+use crate::outcome::AttemptHistory;
 use crate::problem::Problem;
 use crate::{Reason, headers};
 use async_trait::async_trait;
@@ -50,35 +50,35 @@
         depot: &Depot,
         response: &mut Response,
     ) -> Result<(), Problem> {
-        let begun = Instant::now();
-        let admitted = intake::admit(&self.shared, http, depot, MAX_BODY_BYTES).await?;
-        let Admitted { request, client, body, patience, mut pass } = admitted;
-        let call = self.read(http, body, &request.id)?;
-        let booked = pass.book(&self.shared.decisions, &client, Cost::default());
-        booked.map_err(|failure| Problem::new(failure, &Trail::new(true)))?;
-        let asked = format!("{} {}", call.method, call.service);
-        let account = self.shared.accounts.open(&request.id, &request.caller, &asked);
-        let deadline = begun + patience;
-        let errand = Errand { shared: &self.shared, request, call, account, deadline };
-        let answer = errand.run().await?;
-        self.shared.metrics.finished(begun.elapsed());
-        write(response, answer, pass);
+        let started_at = Instant::now();
+        let admitted = admission::admit(&self.shared, http, depot, MAX_BODY_BYTES).await?;
+        let Admitted { request, caller, body, time_limit, mut guard } = admitted;
+        let call = self.parse_call(http, body, &request.id)?;
+        let reserved = guard.reserve(&self.shared.decisions, &caller, Cost::default());
+        reserved.map_err(|failure| Problem::new(failure, &AttemptHistory::new(true)))?;
+        let requested = format!("{} {}", call.method, call.service);
+        let recorder = self.shared.explanations.start(&request.id, &request.caller, &requested);
+        let deadline = started_at + time_limit;
+        let service_call = ServiceCall { shared: &self.shared, request, call, recorder, deadline };
+        let service_response = service_call.run().await?;
+        self.shared.metrics.record_duration(started_at.elapsed());
+        write_response(response, service_response, guard);
         Ok(())
     }
 }
 
 impl Services {
-    fn read(&self, http: &Request, body: Bytes, id: &str) -> Result<Call, Problem> {
+    fn parse_call(&self, http: &Request, body: Bytes, id: &str) -> Result<Call, Problem> {
         let service: String = http.param("name").unwrap_or_default();
         let view = self.shared.view.borrow().clone();
-        let known = view.service(&service).ok_or_else(|| {
+        let definition = view.service(&service).ok_or_else(|| {
             Problem::not_run(Reason::UnknownService, format!("there is no service `{service}`"))
         })?;
-        let key = key(http)?;
-        let repeatable = known.repeatable && key.is_none();
+        let key = idempotency_key(http)?;
+        let repeatable = definition.repeatable && key.is_none();
         // A call without a key that may not be repeated gets one that nobody else can have, so
         // that it runs at most once by the same rule as those with a key.
-        let implicit = || if repeatable { String::new() } else { format!("implicit-{id}") };
+        let generated_key = || if repeatable { String::new() } else { format!("implicit-{id}") };
         let path = http.uri().path();
         let rest = path.strip_prefix("/services/").and_then(|path| path.split_once('/'));
         let rest = rest.map(|(_, rest)| rest).unwrap_or_default();
@@ -90,13 +90,13 @@
             headers: headers::to_service(http.headers()),
             body,
             repeatable,
-            key: key.unwrap_or_else(implicit),
+            key: key.unwrap_or_else(generated_key),
         })
     }
 }
 
 /// The caller's idempotency key.
-fn key(http: &Request) -> Result<Option<String>, Problem> {
+fn idempotency_key(http: &Request) -> Result<Option<String>, Problem> {
     let Some(value) = http.headers().get("idempotency-key") else { return Ok(None) };
     let key = value.to_str().unwrap_or_default();
     if key.is_empty() || key.len() > MAX_KEY_BYTES {
@@ -107,36 +107,40 @@
     Ok(Some(format!("caller-{key}")))
 }
 
-fn write(response: &mut Response, answer: Answer, pass: Pass) {
-    let status = u16::try_from(answer.head.status).ok();
+fn write_response(
+    response: &mut Response,
+    service_response: ServiceResponse,
+    guard: CapacityGuard,
+) {
+    let status = u16::try_from(service_response.head.status).ok();
     let status = status.and_then(|status| StatusCode::from_u16(status).ok());
     response.status_code(status.unwrap_or(StatusCode::BAD_GATEWAY));
-    let replayed = answer.head.replayed;
-    headers::to_caller(answer.head.headers, response.headers_mut());
+    let replayed = service_response.head.replayed;
+    headers::to_caller(service_response.head.headers, response.headers_mut());
     if replayed {
         let value = salvo::http::HeaderValue::from_static("true");
         response.headers_mut().insert(REPLAYED, value);
     }
-    match answer.rest {
+    match service_response.rest {
         None => {
-            response.body(answer.body);
+            response.body(service_response.body);
         }
         Some(attempt) => {
-            let first = stream::once(async move { Ok(answer.body) });
-            response.stream(first.chain(parts(attempt, pass)).boxed());
+            let first = stream::once(async move { Ok(service_response.body) });
+            response.stream(first.chain(body_stream(attempt, guard)).boxed());
         }
     }
 }
 
 /// The body's pieces; a lost attempt breaks the connection, so that the caller sees it.
-fn parts(
+fn body_stream(
     attempt: Attempt,
-    pass: Pass,
+    guard: CapacityGuard,
 ) -> impl futures_util::Stream<Item = io::Result<Bytes>> + Send {
-    stream::unfold(Some((attempt, pass)), |state| async move {
-        let (mut attempt, pass) = state?;
+    stream::unfold(Some((attempt, guard)), |state| async move {
+        let (mut attempt, guard) = state?;
         match attempt.next().await {
-            Some(EventKind::Part(part)) => Some((Ok(part.bytes), Some((attempt, pass)))),
+            Some(EventKind::Part(part)) => Some((Ok(part.bytes), Some((attempt, guard)))),
             Some(EventKind::End(_)) => None,
             _ => Some((Err(io::Error::other("the target's answer was cut")), None)),
         }
--- a/crates/entry/src/routes/sse.rs
+++ b/crates/entry/src/routes/sse.rs
@@ -5,9 +5,9 @@
 //! connection is gone and after [`READ_TIMEOUT`] when nothing is taken, and that cancels the
 //! engine's work.
 
-use super::answer::Answer;
+use super::openai::ResponseFormat;
+use crate::capacity::CapacityGuard;
 use crate::daemon::Shared;
-use crate::gate::Pass;
 use crate::problem::Problem;
 use crate::relay::{Piece, Relay};
 use bytes::Bytes;
@@ -23,7 +23,7 @@
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Events that wait for a slow caller in the entry; more wait at the agent.
-const WAITING_EVENTS: usize = 32;
+const EVENT_BUFFER: usize = 32;
 
 /// The event id that a caller sends back to go on: `target/request/token`.
 #[derive(Debug, PartialEq, Eq)]
@@ -36,86 +36,86 @@
 impl EventId {
     /// Reads an event id.
     pub(super) fn parse(text: &str) -> Option<Self> {
-        let mut parts = text.splitn(3, '/');
-        let target = parts.next()?.to_owned();
-        let request = parts.next()?.to_owned();
-        let token = parts.next()?.parse().ok()?;
+        let mut chunks = text.splitn(3, '/');
+        let target = chunks.next()?.to_owned();
+        let request = chunks.next()?.to_owned();
+        let token = chunks.next()?.parse().ok()?;
         Some(Self { target, request, token })
     }
 }
 
 /// What a stream needs until its end.
-pub(super) struct Streaming {
+pub(super) struct ResponseStream {
     pub(super) shared: Arc<Shared>,
-    pub(super) answer: Answer,
+    pub(super) format: ResponseFormat,
     pub(super) relay: Relay,
     /// Held until the stream ends.
-    pub(super) pass: Pass,
-    pub(super) begun: Instant,
+    pub(super) guard: CapacityGuard,
+    pub(super) started_at: Instant,
 }
 
 /// A part of the stream; only the last kind ends it properly.
-enum Part {
+enum Chunk {
     Events(String),
     Last(String),
 }
 
-impl Streaming {
+impl ResponseStream {
     /// The response's body, of which `first` is the first piece.
     pub(super) fn start(self, first: Piece) -> impl Stream<Item = io::Result<Bytes>> + Send {
-        let (sender, parts) = mpsc::channel(WAITING_EVENTS);
+        let (sender, chunks) = mpsc::channel(EVENT_BUFFER);
         tokio::spawn(self.drive(first, sender));
-        stream::unfold(Some(parts), |parts| async move {
-            let mut parts = parts?;
-            match parts.recv().await {
-                Some(Part::Events(text)) => Some((Ok(Bytes::from(text)), Some(parts))),
-                Some(Part::Last(text)) => Some((Ok(Bytes::from(text)), None)),
+        stream::unfold(Some(chunks), |chunks| async move {
+            let mut chunks = chunks?;
+            match chunks.recv().await {
+                Some(Chunk::Events(text)) => Some((Ok(Bytes::from(text)), Some(chunks))),
+                Some(Chunk::Last(text)) => Some((Ok(Bytes::from(text)), None)),
                 // The connection is broken off, so that nobody takes the part for the whole.
                 None => Some((Err(io::Error::other("the answer was given up")), None)),
             }
         })
     }
 
-    async fn drive(mut self, first: Piece, sender: mpsc::Sender<Part>) {
+    async fn drive(mut self, first: Piece, sender: mpsc::Sender<Chunk>) {
         let mut piece = Ok(first);
         loop {
             if let Ok(Piece::End(end)) = &piece {
-                self.pass.used(tokens_of(end));
+                self.guard.set_used_tokens(total_tokens(end));
             }
-            let part = self.part(piece);
-            let last = matches!(part, Part::Last(_));
-            if sender.send_timeout(part, READ_TIMEOUT).await.is_err() {
-                return self.vanished("slow-caller");
+            let chunk = self.encode(piece);
+            let is_last = matches!(chunk, Chunk::Last(_));
+            if sender.send_timeout(chunk, READ_TIMEOUT).await.is_err() {
+                return self.abandon("slow-caller");
             }
-            if last {
-                return self.shared.metrics.finished(self.begun.elapsed());
+            if is_last {
+                return self.shared.metrics.record_duration(self.started_at.elapsed());
             }
             piece = tokio::select! {
                 biased;
-                () = sender.closed() => return self.vanished("vanished-caller"),
+                () = sender.closed() => return self.abandon("vanished-caller"),
                 piece = self.relay.next() => piece,
             };
         }
     }
 
-    fn part(&self, piece: Result<Piece, Problem>) -> Part {
+    fn encode(&self, piece: Result<Piece, Problem>) -> Chunk {
         match piece {
-            Ok(Piece::Text { text, id }) => Part::Events(self.answer.chunk(&id, &text)),
-            Ok(Piece::End(end)) => Part::Last(self.answer.last(&end)),
+            Ok(Piece::Text { text, id }) => Chunk::Events(self.format.chunk(&id, &text)),
+            Ok(Piece::End(end)) => Chunk::Last(self.format.last(&end)),
             Err(problem) => {
-                self.shared.metrics.refused(problem.reason, problem.run);
-                Part::Last(format!("event: error\ndata: {}\n\n", problem.openai()))
+                self.shared.metrics.request_refused(problem.reason, problem.execution);
+                Chunk::Last(format!("event: error\ndata: {}\n\n", problem.openai()))
             }
         }
     }
 
-    fn vanished(&self, event: &'static str) {
-        self.shared.metrics.vanished.inc();
-        log::info!(request = self.answer.id.as_str(), event = event; "stream-given-up");
+    fn abandon(&self, event: &'static str) {
+        self.shared.metrics.vanished_callers.inc();
+        log::info!(request = self.format.id.as_str(), event = event; "stream-given-up");
     }
 }
 
 /// Tokens that an answer used, prompt and output.
-pub(super) fn tokens_of(end: &End) -> u64 {
+pub(super) fn total_tokens(end: &End) -> u64 {
     u64::from(end.prompt_tokens) + u64::from(end.output_tokens)
 }
--- a/crates/entry/src/routes/trace.rs
+++ b/crates/entry/src/routes/trace.rs
@@ -18,11 +18,11 @@
 
 /// A request's id, which its handler finds in the depot.
 #[derive(Clone)]
-pub(super) struct Id(pub(super) CompactString);
+pub(super) struct RequestId(pub(super) CompactString);
 
 /// The id that was given to a request.
-pub(super) fn id(depot: &Depot) -> CompactString {
-    depot.get_typed::<Id>().map(|id| id.0.clone()).unwrap_or_default()
+pub(super) fn request_id(depot: &Depot) -> CompactString {
+    depot.get_typed::<RequestId>().map(|id| id.0.clone()).unwrap_or_default()
 }
 
 #[async_trait]
@@ -34,16 +34,16 @@
         response: &mut Response,
         ctrl: &mut FlowCtrl,
     ) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let id = format_compact!("{:016x}", self.shared.random.number());
-        depot.insert_typed(Id(id.clone()));
+        depot.insert_typed(RequestId(id.clone()));
         ctrl.call_next(request, depot, response).await;
         if let Ok(value) = HeaderValue::try_from(id.as_str()) {
             response.headers_mut().insert(REQUEST_ID, value);
         }
         let status = response.status_code.map_or(200, |status| status.as_u16());
-        let millis = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let elapsed_ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         let path = request.uri().path();
-        log::debug!(request = id.as_str(), path = path, status = status, ms = millis; "answered");
+        log::debug!(request = id.as_str(), path = path, status = status, ms = elapsed_ms; "answered");
     }
 }
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,10 +1,10 @@
 //! One connection to an agent: a task that reads and one that writes.
 
 use crate::attempt::{Attempt, Outbox};
-use crate::heartbeat::{Beat, Heartbeat};
+use crate::heartbeat::{Heartbeat, HeartbeatAction};
 use crate::inbox::{CREDIT_EVENTS, Inbox};
 use crate::peer::Peer;
-use crate::peers::Link;
+use crate::peers::PeerContext;
 use bytes::Bytes;
 use conf::Name;
 use std::collections::HashMap;
@@ -27,22 +27,22 @@
 pub(crate) struct Session {
     outbox: Outbox,
     inbox: Arc<Inbox>,
-    asks: Mutex<HashMap<u64, oneshot::Sender<Bytes>>>,
-    next_ask: AtomicU64,
+    pending_replies: Mutex<HashMap<u64, oneshot::Sender<Bytes>>>,
+    next_nonce: AtomicU64,
     incarnation: u64,
 }
 
 impl Session {
     /// Dials the agent at `address` and shakes hands.
     pub(crate) async fn connect(
-        link: &Link,
+        context: &PeerContext,
         address: &str,
     ) -> wire::Result<(Arc<Self>, Reader, mpsc::Receiver<Frame>, Writer)> {
         let connecting = async {
-            let pipe = link.dialler.dial(address).await?;
+            let pipe = context.dialler.dial(address).await?;
             let mut connection = Connection::new(pipe, address.into());
-            let hello = Hello::new(&link.name, link.incarnation, rand::random());
-            let agent = wire::connect(&mut connection, &link.key, hello).await?;
+            let hello = Hello::new(&context.name, context.incarnation, rand::random());
+            let agent = wire::connect(&mut connection, &context.key, hello).await?;
             wire::Result::Ok((connection, agent))
         };
         let connected = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
@@ -58,8 +58,8 @@
         let session = Self {
             outbox,
             inbox: Arc::new(Inbox::new()),
-            asks: Mutex::default(),
-            next_ask: AtomicU64::new(1),
+            pending_replies: Mutex::default(),
+            next_nonce: AtomicU64::new(1),
             incarnation: agent.incarnation,
         };
         Ok((Arc::new(session), reader, frames, writer))
@@ -68,12 +68,12 @@
     /// Submits a request; `None` if the connection is lost, and then nothing was sent.
     pub(crate) async fn submit(
         &self,
-        link: &Link,
+        context: &PeerContext,
         target: Name,
         request: Request,
         hold: bool,
     ) -> Option<Attempt> {
-        let id = link.next_attempt();
+        let id = context.next_attempt();
         let events = self.inbox.open(id)?;
         let (outbox, inbox) = (self.outbox.clone(), self.inbox.clone());
         let attempt = Attempt::new(id, target, events, outbox, inbox, !hold);
@@ -86,11 +86,11 @@
     /// Goes on with an answer; `None` if the connection is lost.
     pub(crate) async fn attach(
         &self,
-        link: &Link,
+        context: &PeerContext,
         target: Name,
         mut attach: Attach,
     ) -> Option<Attempt> {
-        let id = link.next_attempt();
+        let id = context.next_attempt();
         let events = self.inbox.open(id)?;
         let (outbox, inbox) = (self.outbox.clone(), self.inbox.clone());
         let attempt = Attempt::new(id, target, events, outbox, inbox, true);
@@ -102,9 +102,9 @@
 
     /// Asks a question outside any attempt; `None` if the connection is lost first.
     pub(crate) async fn ask(&self, kind: AskKind, body: Bytes) -> Option<Bytes> {
-        let id = self.next_ask.fetch_add(1, Ordering::Relaxed);
+        let id = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
-        self.asks.lock().unwrap_or_else(PoisonError::into_inner).insert(id, sender);
+        self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner).insert(id, sender);
         let ask = Ask { id, kind: kind.into(), body };
         self.outbox.send(Frame::new(Body::Ask(ask))).await.ok()?;
         answer.await.ok()
@@ -118,30 +118,30 @@
     /// Runs the connection until it is lost, is silent for too long, or is not wanted any more.
     pub(crate) async fn run(
         self: Arc<Self>,
-        link: &Link,
+        context: &PeerContext,
         peer: &Peer,
         mut reader: Reader,
         frames: mpsc::Receiver<Frame>,
         writer: Writer,
     ) {
-        let writing = tokio::spawn(write(writer, frames));
+        let writer_task = tokio::spawn(write_frames(writer, frames));
         let mut heartbeat = Heartbeat::new();
         loop {
-            let (busy, idle) = (self.open_attempts() > 0, link.ping_interval());
+            let (busy, idle) = (self.open_attempts() > 0, context.ping_interval());
             tokio::select! {
                 frame = reader.next() => {
                     let Some(Ok(frame)) = frame else { break };
-                    heartbeat.hear();
-                    self.take(link, peer, frame);
+                    heartbeat.record_frame();
+                    self.handle_frame(context, peer, frame);
                 }
-                () = tokio::time::sleep_until(heartbeat.next(busy, idle)) => {
+                () = tokio::time::sleep_until(heartbeat.next_check(busy, idle)) => {
                     if peer.is_idle(&self) {
                         break;
                     }
-                    match heartbeat.look(busy, idle) {
-                        Beat::Rest => {}
-                        Beat::Ping => self.ping(link),
-                        Beat::Silent => {
+                    match heartbeat.check(busy, idle) {
+                        HeartbeatAction::Wait => {}
+                        HeartbeatAction::Ping => self.ping(context),
+                        HeartbeatAction::TimedOut => {
                             log::warn!(peer = reader.peer().as_str(); "peer-silent");
                             break;
                         }
@@ -149,42 +149,43 @@
                 }
             }
         }
-        writing.abort();
+        writer_task.abort();
         self.inbox.close();
-        self.asks.lock().unwrap_or_else(PoisonError::into_inner).clear();
+        self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner).clear();
         log::info!(peer = reader.peer().as_str(); "peer-disconnected");
     }
 
-    fn ping(&self, link: &Link) {
-        let nonce = self.next_ask.fetch_add(1, Ordering::Relaxed);
-        let sender = Some(link.sighting());
-        let ping = Ping { nonce, sender, wants_sightings: link.wants_sightings() };
+    fn ping(&self, context: &PeerContext) {
+        let nonce = self.next_nonce.fetch_add(1, Ordering::Relaxed);
+        let sender = Some(context.sighting());
+        let ping = Ping { nonce, sender, wants_sightings: context.take_sightings_due() };
         // A full queue shows by itself that the peer does not read; silence ends it.
         let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
     }
 
-    fn take(&self, link: &Link, peer: &Peer, frame: Frame) {
+    fn handle_frame(&self, context: &PeerContext, peer: &Peer, frame: Frame) {
         match frame.body {
             Some(Body::Event(event)) => {
                 if let Some(load) = &event.load {
-                    peer.hear(link, load, self.incarnation);
+                    peer.observe_load(context, load, self.incarnation);
                 }
                 if let Some(kind) = event.kind {
-                    self.inbox.hand_on(event.attempt, kind);
+                    self.inbox.deliver(event.attempt, kind);
                 }
             }
             Some(Body::Pong(pong)) => {
                 if let Some(load) = &pong.load {
-                    peer.hear(link, load, self.incarnation);
+                    peer.observe_load(context, load, self.incarnation);
                 }
                 if !pong.sightings.is_empty() {
-                    link.processes.hear_entries(&pong.sightings);
-                    link.decisions.hear_entries(&link.name, &pong.sightings);
+                    context.processes.observe_entries(&pong.sightings);
+                    context.decisions.observe_entries(&context.name, &pong.sightings);
                 }
             }
             Some(Body::Reply(Reply { id, body })) => {
-                let asks = &mut self.asks.lock().unwrap_or_else(PoisonError::into_inner);
-                if let Some(sender) = asks.remove(&id) {
+                let pending_replies =
+                    &mut self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner);
+                if let Some(sender) = pending_replies.remove(&id) {
                     // Whoever asked may have given up.
                     let _ = sender.send(body);
                 }
@@ -207,7 +208,7 @@
 }
 
 /// Writes frames, flushing once for all that are ready.
-async fn write(mut writer: Writer, mut frames: mpsc::Receiver<Frame>) -> wire::Result<()> {
+async fn write_frames(mut writer: Writer, mut frames: mpsc::Receiver<Frame>) -> wire::Result<()> {
     while let Some(frame) = frames.recv().await {
         writer.feed(frame).await?;
         while let Ok(frame) = frames.try_recv() {
--- a/crates/entry/src/versions.rs
+++ b/crates/entry/src/versions.rs
@@ -5,8 +5,8 @@
 //! that one engine. So requests keep to the version that they had until half as many engines
 //! serve the new one as the old. Engines serve the old one until all have the new.
 
-use crate::board::Board;
 use crate::router::served_name;
+use crate::target_table::TargetTable;
 use conf::Name;
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -14,30 +14,36 @@
 /// The version that each model's requests got last.
 #[derive(Default)]
 pub(crate) struct Versions {
-    last: Mutex<HashMap<Name, Name>>,
+    last_chosen: Mutex<HashMap<Name, Name>>,
 }
 
 impl Versions {
     /// The version for a request that names none; `desired` is the configuration's.
-    pub(crate) fn choose(&self, board: &Board, model: &str, desired: &Name, adapter: &str) -> Name {
-        let served = |version: &Name| board.served(&served_name(model, version, adapter));
-        let mut last = self.last.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = match last.get(model) {
-            Some(before) if before == desired => return desired.clone(),
-            Some(before) => before.clone(),
+    pub(crate) fn choose(
+        &self,
+        targets: &TargetTable,
+        model: &str,
+        desired: &Name,
+        adapter: &str,
+    ) -> Name {
+        let served = |version: &Name| targets.server_count(&served_name(model, version, adapter));
+        let mut last_chosen = self.last_chosen.lock().unwrap_or_else(PoisonError::into_inner);
+        let previous = match last_chosen.get(model) {
+            Some(previous) if previous == desired => return desired.clone(),
+            Some(previous) => previous.clone(),
             // An entry that starts in the middle of a change learns from the engines.
-            None => board.most_served(model, adapter).unwrap_or_default(),
+            None => targets.most_served_version(model, adapter).unwrap_or_default(),
         };
-        let (new, old) = (served(desired), served(&before));
+        let (new, old) = (served(desired), served(&previous));
         if new == 0 && old == 0 {
             // Nothing was heard of the engines yet, so nothing is learnt from it either.
             return desired.clone();
         }
         if 2 * new >= old {
-            last.insert(model.into(), desired.clone());
+            last_chosen.insert(model.into(), desired.clone());
             return desired.clone();
         }
-        last.insert(model.into(), before.clone());
-        before
+        last_chosen.insert(model.into(), previous.clone());
+        previous
     }
 }
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -16,18 +16,18 @@
 
 /// The configuration at one offset, arranged for requests.
 #[derive(Default)]
-pub(crate) struct View {
+pub(crate) struct ConfigView {
     /// The offset of the first record that is not in it.
     pub(crate) end: Offset,
-    callers: HashMap<Digest, Arc<Client>>,
-    open: Option<Arc<Client>>,
+    callers: HashMap<Digest, Arc<ConfiguredCaller>>,
+    anonymous: Option<Arc<ConfiguredCaller>>,
     models: HashMap<Name, Model>,
     services: HashMap<Name, Service>,
-    targets: HashMap<Name, Arc<Site>>,
+    targets: HashMap<Name, Arc<ConfiguredTarget>>,
 }
 
 /// A caller.
-pub(crate) struct Client {
+pub(crate) struct ConfiguredCaller {
     pub(crate) name: Name,
     pub(crate) spec: Caller,
     pub(crate) digest: Option<Digest>,
@@ -37,24 +37,24 @@
 #[derive(Default)]
 pub(crate) struct Model {
     pub(crate) version: Name,
-    pub(crate) sites: Vec<Arc<Site>>,
+    pub(crate) targets: Vec<Arc<ConfiguredTarget>>,
 }
 
 /// A plain service and its targets.
 pub(crate) struct Service {
     /// Whether all its targets say that running a call twice does no harm.
     pub(crate) repeatable: bool,
-    pub(crate) sites: Vec<Arc<Site>>,
+    pub(crate) targets: Vec<Arc<ConfiguredTarget>>,
 }
 
 /// A configured target and its agent.
-pub(crate) struct Site {
+pub(crate) struct ConfiguredTarget {
     pub(crate) name: Name,
     pub(crate) spec: Target,
     pub(crate) peer: Arc<Peer>,
 }
 
-impl View {
+impl ConfigView {
     /// Arranges a configuration.
     pub(crate) fn new(config: &Config, peers: &Peers) -> Self {
         let mut view = Self { end: config.end(), ..Self::default() };
@@ -63,22 +63,26 @@
         }
         for entry in config.list(Kind::Model) {
             if let Spec::Model(model) = &entry.spec {
-                let model = Model { version: model.version.clone(), sites: Vec::new() };
+                let model = Model { version: model.version.clone(), targets: Vec::new() };
                 view.models.insert(entry.resource.name.clone(), model);
             }
         }
         for (name, target) in config.targets() {
             let peer = peers.get(&target.agent);
-            view.add_target(Arc::new(Site { name: name.clone(), spec: target.clone(), peer }));
+            view.add_target(Arc::new(ConfiguredTarget {
+                name: name.clone(),
+                spec: target.clone(),
+                peer,
+            }));
         }
         view
     }
 
     /// The caller whose token has this digest, or the open one.
-    pub(crate) fn caller(&self, digest: Option<&Digest>) -> Option<&Arc<Client>> {
+    pub(crate) fn caller(&self, digest: Option<&Digest>) -> Option<&Arc<ConfiguredCaller>> {
         match digest {
             Some(digest) => self.callers.get(digest),
-            None => self.open.as_ref(),
+            None => self.anonymous.as_ref(),
         }
     }
 
@@ -100,48 +104,49 @@
     }
 
     /// A configured target.
-    pub(crate) fn target(&self, name: &str) -> Option<&Arc<Site>> {
+    pub(crate) fn target(&self, name: &str) -> Option<&Arc<ConfiguredTarget>> {
         self.targets.get(name)
     }
 
     /// All configured targets.
-    pub(crate) fn targets(&self) -> impl Iterator<Item = &Arc<Site>> {
+    pub(crate) fn targets(&self) -> impl Iterator<Item = &Arc<ConfiguredTarget>> {
         self.targets.values()
     }
 
-    fn add_caller(&mut self, name: &Name, caller: &Caller) {
-        let digest = parse_digest(&caller.token_sha256);
-        let client = Client { name: name.clone(), spec: caller.clone(), digest };
-        let client = Arc::new(client);
+    fn add_caller(&mut self, name: &Name, spec: &Caller) {
+        let digest = parse_digest(&spec.token_sha256);
+        let caller = ConfiguredCaller { name: name.clone(), spec: spec.clone(), digest };
+        let caller = Arc::new(caller);
         match digest {
             Some(digest) => {
-                self.callers.entry(digest).or_insert(client);
+                self.callers.entry(digest).or_insert(caller);
             }
-            None if caller.token_sha256.is_empty() => {
-                self.open.get_or_insert(client);
+            None if spec.token_sha256.is_empty() => {
+                self.anonymous.get_or_insert(caller);
             }
             // The configuration's own check lets no other digests in.
             None => {}
         }
     }
 
-    fn add_target(&mut self, site: Arc<Site>) {
-        for model in &site.spec.models {
+    fn add_target(&mut self, target: Arc<ConfiguredTarget>) {
+        for model in &target.spec.models {
             if let Some(model) = self.models.get_mut(model) {
-                model.sites.push(site.clone());
+                model.targets.push(target.clone());
             }
         }
-        if !site.spec.is_engine() {
-            let fresh = || Service { repeatable: true, sites: Vec::new() };
-            let service = self.services.entry(site.spec.service.clone()).or_insert_with(fresh);
-            service.repeatable &= site.spec.repeatable;
-            service.sites.push(site.clone());
+        if !target.spec.is_engine() {
+            let new_service = || Service { repeatable: true, targets: Vec::new() };
+            let service =
+                self.services.entry(target.spec.service.clone()).or_insert_with(new_service);
+            service.repeatable &= target.spec.repeatable;
+            service.targets.push(target.clone());
         }
-        self.targets.insert(site.name.clone(), site);
+        self.targets.insert(target.name.clone(), target);
     }
 }
 
-impl Site {
+impl ConfiguredTarget {
     /// Whether the configuration lets it have new work.
     pub(crate) fn is_active(&self) -> bool {
         match self.spec.phase {
