--- a/crates/entry/src/capacity.rs
+++ b/crates/entry/src/capacity.rs
@@ -1,7 +1,7 @@
-//! How much the entry holds at a time, in requests and in bytes of bodies.
+//! Limits the requests and body bytes that an entry holds at a time.
 //!
-//! Without it a crowd, or a few callers with large bodies, would take all of the VM's memory and
-//! bring down the requests that were already being answered.
+//! Without these limits, many requests at once, or a few callers with large bodies, could use up
+//! the VM's memory and fail the requests in progress.
 
 use crate::Reason;
 use crate::decisions::Decisions;
@@ -13,31 +13,31 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// Requests open at a time: 12 requests a second (4,700 over 390 entries) stay far below it even
-/// if each takes a minute, and at 16 KB each it stays below 64 MB.
+/// Maximum open requests. The expected 12 requests per second (4,700 over 390 entries) stay far
+/// below it even if each takes a minute; at 16 KB per request it is 64 MB.
 const MAX_OPEN_REQUESTS: usize = 4_096;
 
-/// Bytes of bodies held at a time; a quarter of an entry's 256 MB.
+/// Maximum body bytes held at a time, a quarter of an entry's 256 MB.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// When to come again if the entry is full; answers end all the time.
+/// Retry delay if the entry is full. It is short because requests complete continuously.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Counts what is held.
+/// Counts open requests and their body bytes.
 #[derive(Default)]
 pub(crate) struct Capacity {
     open_requests: AtomicUsize,
     body_bytes: AtomicUsize,
 }
 
-/// Leave to hold one request; dropping it gives it back.
+/// Holds the capacity for one request and releases it on drop.
 pub(crate) struct CapacityGuard {
     capacity: Arc<Capacity>,
     bytes: usize,
     reservation: Option<LimitReservation>,
 }
 
-/// A request that counts against its caller's limits.
+/// A request that counts against its caller's limits until dropped.
 struct LimitReservation {
     decisions: Arc<Decisions>,
     caller: Name,
@@ -46,11 +46,12 @@
 }
 
 impl Capacity {
-    /// Lets a request in with a body of up to `bytes`.
+    /// Acquires capacity for a request with a body of up to `bytes`.
     pub(crate) fn acquire(self: &Arc<Self>, bytes: usize) -> Result<CapacityGuard, Failure> {
         let open = self.open_requests.fetch_add(1, Ordering::Relaxed) + 1;
         let held_bytes = self.body_bytes.fetch_add(bytes, Ordering::Relaxed) + bytes;
-        // Made first, so that what was just counted is given back if it is too much.
+        // Created before the check, so that dropping it reverts the counters if a limit is
+        // exceeded.
         let guard = CapacityGuard { capacity: self.clone(), bytes, reservation: None };
         if open > MAX_OPEN_REQUESTS || held_bytes > MAX_BODY_BYTES {
             let failure = Failure::not_run(Reason::EntryFull, "this entry holds all it can");
@@ -59,14 +60,14 @@
         Ok(guard)
     }
 
-    /// How many requests are held.
+    /// Returns the number of open requests.
     pub(crate) fn open_requests(&self) -> usize {
         self.open_requests.load(Ordering::Relaxed)
     }
 }
 
 impl CapacityGuard {
-    /// Books the request under its caller's limits until the pass is dropped.
+    /// Counts the request against its caller's limits until the guard is dropped.
     pub(crate) fn reserve(
         &mut self,
         decisions: &Arc<Decisions>,
@@ -80,7 +81,7 @@
         Ok(())
     }
 
-    /// Corrects what the request was predicted to use by what it did.
+    /// Replaces the predicted token count by the actual one.
     pub(crate) fn set_used_tokens(&mut self, tokens: u64) {
         if let Some(reservation) = &mut self.reservation {
             reservation.used = tokens;
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions of [`policy`] at this entry, with their state, clock and random numbers.
+//! Applies the algorithms of [`policy`] with this entry's state, clock and random numbers.
 
 use crate::Reason;
 use crate::duplicates::Duplicates;
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// All decisions of one entry.
+/// The decisions of one entry and the state that they depend on.
 pub(crate) struct Decisions {
     epoch: Instant,
     random: Arc<Random>,
@@ -34,18 +34,18 @@
     traffic: Mutex<TrafficState>,
 }
 
-/// What the decisions learn from traffic.
+/// State that decisions derive from traffic.
 #[derive(Default)]
 struct TrafficState {
     estimator: Estimator,
     retries: Budget,
     limits: Option<Limits>,
     demand: Demand,
-    /// Other entries, and when they were last heard of.
+    /// When each other entry was last seen.
     entries: HashMap<String, Time>,
 }
 
-/// Tokens a second that callers offer, averaged over [`Demand::WINDOW`].
+/// Demand of callers in tokens per second, as a moving average over [`Demand::WINDOW`].
 #[derive(Default)]
 struct Demand {
     prompt: f64,
@@ -53,33 +53,33 @@
     updated_at: Time,
 }
 
-/// How often one request is tried again at most, also where that costs the fleet nothing.
+/// Maximum retries of one request, including those that add no load.
 const MAX_RETRIES: u32 = 5;
 
-/// Attempts that may crash under one request before it is given up: the log's word about the
-/// first crash may come too late to stop the second, but never the third.
+/// Crashes during one request after which it is given up. The log's record of the first crash may
+/// arrive too late to prevent a second, but not a third.
 const MAX_CRASHES: u32 = 2;
 
-/// How long an entry counts as live after it was last heard of.
+/// Time after which an entry that was not seen no longer counts as live.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(30);
 
-/// The first wait before a retry that costs nothing; it doubles.
+/// Initial backoff of a retry that adds no load; it doubles with each retry.
 const FREE_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a request has gone through when a retry is asked for.
+/// State of a request that a retry decision depends on.
 pub(crate) struct RetryContext<'a> {
     pub(crate) caller: &'a CompactString,
-    /// The target that failed; empty if none was tried.
+    /// The target that failed; empty if no attempt was made.
     pub(crate) target: &'a CompactString,
     pub(crate) history: &'a AttemptHistory,
     pub(crate) retries: u32,
     pub(crate) crashes: u32,
-    /// Whether a part of the answer was delivered.
+    /// Whether a part of the response was delivered to the caller.
     pub(crate) delivered: bool,
 }
 
 impl Decisions {
-    /// Makes decisions that have learnt nothing.
+    /// Creates the initial state, without any observed traffic.
     pub(crate) fn new(random: Arc<Random>) -> Self {
         Self {
             epoch: Instant::now(),
@@ -93,32 +93,33 @@
         }
     }
 
-    /// The time in the form that decisions take.
+    /// Returns the time since this entry's decisions were created.
     pub(crate) fn now(&self) -> Time {
         self.epoch.elapsed()
     }
 
-    /// Random numbers for decisions.
+    /// Returns the source of random numbers for decisions.
     pub(crate) fn random(&self) -> &Random {
         &self.random
     }
 
-    /// The predicted work of a prompt.
+    /// Predicts the cost of a prompt.
     pub(crate) fn cost(&self, caller: &str, model: &str, prompt: u32, max_tokens: u32) -> Cost {
         self.lock().estimator.cost(caller, model, prompt, max_tokens)
     }
 
-    /// Learns how long an answer became.
+    /// Updates the predicted output length with the length of a complete response.
     pub(crate) fn learn(&self, caller: &str, model: &str, output: u32) {
         self.lock().estimator.learn(caller, model, output);
     }
 
-    /// Learns how much of a prompt an engine found in its cache, which it need not read again.
+    /// Updates the predicted cache hits with the cached part of a prompt, which needs no prefill.
     pub(crate) fn learn_cached(&self, caller: &str, model: &str, prompt: u32, cached: u32) {
         self.lock().estimator.learn_cached(caller, model, prompt, cached);
     }
 
-    /// Opens a request under its caller's limits, or refuses it; what is opened is closed once.
+    /// Admits a request under its caller's limits, or refuses it. Each admitted request must be
+    /// closed once.
     pub(crate) fn open(&self, caller: &ConfiguredCaller, cost: Cost) -> Result<(), Failure> {
         let now = self.now();
         let limit = Limit {
@@ -131,12 +132,12 @@
         traffic.limits().open(&caller.name, limit, tokens, now).map_err(admission_failure)
     }
 
-    /// Closes a request with the tokens that it was predicted to use and did use.
+    /// Releases an admitted request and replaces its predicted token count by the actual one.
     pub(crate) fn close(&self, caller: &Name, predicted: u64, actual: u64) {
         self.lock().limits().close(caller, predicted, actual);
     }
 
-    /// Takes in what other entries tell of the callers that they serve.
+    /// Applies the status reports of other entries: their liveness and their callers' usage.
     pub(crate) fn observe_entries(&self, own: &str, sightings: &[wire::Sighting]) {
         let now = self.now();
         let mut traffic = self.lock();
@@ -151,7 +152,7 @@
         traffic.limits().set_entries(live);
     }
 
-    /// Completes what the entry says of itself with demand and busy callers.
+    /// Adds demand and the usage of active callers to this entry's status.
     pub(crate) fn report_demand(&self, sighting: &mut wire::Sighting) {
         let now = self.now();
         let mut traffic = self.lock();
@@ -161,7 +162,7 @@
         sighting.usages = traffic.limits().report(now).into_iter().map(usage_to_wire).collect();
     }
 
-    /// Refuses a prompt that can't begin before its deadline at any of the targets picked.
+    /// Refuses a prompt that can't begin before its deadline at any of the candidates.
     pub(crate) fn admit(
         &self,
         candidates: &[SelectedTarget],
@@ -188,23 +189,23 @@
         refusal.map_or(Ok(()), |refusal| Err(admission_failure(refusal)))
     }
 
-    /// How the request with this fingerprint may run, by the log's records of crashes.
+    /// Returns how a request with this fingerprint may run, given the crashes recorded in the log.
     pub(crate) fn quarantine_verdict(&self, system: &System, fingerprint: u64) -> Verdict {
         self.quarantine.decide(&LoggedCrashes(system), fingerprint)
     }
 
-    /// Books the first attempt of a request.
+    /// Credits the retry budget for the first attempt of a request.
     pub(crate) fn earn(&self, caller: &CompactString, target: &CompactString) {
         let now = self.now();
         self.lock().retries.earn(caller, target, now);
     }
 
-    /// Notes that a target failed an attempt.
+    /// Records a failed attempt at a target.
     pub(crate) fn record_failure(&self, target: &Name) {
         self.targets.record_sample(target, Sample::Failed, self.now());
     }
 
-    /// Notes how fast a target generated: seconds for each token.
+    /// Records a completed attempt with the target's decode speed.
     pub(crate) fn record_completion(&self, target: &Name, seconds_per_token: f64) {
         self.targets.record_sample(
             target,
@@ -213,12 +214,13 @@
         );
     }
 
-    /// How long to wait before another attempt; `None` if there is to be none.
+    /// Returns the delay before the next attempt; `None` if there must be none.
     ///
-    /// The budget is for retries that add load. Three kinds add none: after an attempt that never
-    /// reached its target, the resumption of an answer under way, which goes on where the lost one
-    /// stopped, and a planned change, after which the KV cache moves along. A crash with 16 streams
-    /// would otherwise cut 12 of them, and so would a change that operators planned.
+    /// The budget covers only retries that add load. Three kinds add none: a retry after an attempt
+    /// that never reached its target, the resumption of a partly delivered response, which
+    /// continues at the token where the lost one stopped, and a retry after a planned change, whose
+    /// KV cache is transferred. If these used the budget, a crash with 16 streams would cut 12 of
+    /// them, and so would a change planned by operators.
     pub(crate) fn retry_delay(
         &self,
         failure: &Failure,
@@ -226,7 +228,8 @@
     ) -> Option<Duration> {
         let mut history = *context.history;
         history.record(failure.progress);
-        // This entry's own refusal has weighed all targets already; an agent's speaks for its own.
+        // A refusal by this entry already considered all targets; one by an agent concerns only its
+        // own target.
         if failure.reason == Reason::Overloaded && context.target.is_empty() {
             return None;
         }
@@ -238,7 +241,7 @@
         let free = planned || failure.progress == wire::Progress::NotRun || context.delivered;
         if free {
             let backoff = FREE_BACKOFF * 2_u32.saturating_pow(context.retries);
-            // The first goes out at once: the target that failed is out of the way already.
+            // The first retry needs no backoff: the failed target is excluded already.
             let wait =
                 if context.retries == 0 { Duration::ZERO } else { self.random.jitter(backoff) };
             return Some(wait);
@@ -262,7 +265,7 @@
 }
 
 impl Demand {
-    /// The fast average of the planner: a few pings long.
+    /// Window of the planner's fast average of demand; it spans a few heartbeats.
     const WINDOW: Duration = Duration::from_secs(10);
 
     fn decay(&mut self, now: Time) {
@@ -285,7 +288,7 @@
     }
 }
 
-/// The log's records of crashes, as the quarantine reads them.
+/// Crash records of the log in the form that the quarantine policy reads.
 struct LoggedCrashes<'a>(&'a System);
 
 impl CrashRecords for LoggedCrashes<'_> {
@@ -326,12 +329,12 @@
     wire::Usage { caller, rate: count(rate), open }
 }
 
-/// A count as a float; counts of tokens stay far under 2^52.
+/// Converts a count to a float without loss: token counts stay far below 2^52.
 fn float(count: u64) -> f64 {
     count as f64
 }
 
-/// A float as a count, rounded.
+/// Rounds a float to a count.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/entry/src/late_binding.rs
+++ b/crates/entry/src/late_binding.rs
@@ -1,8 +1,8 @@
-//! Late binding: a prompt waits at two targets and starts at the first that is free.
+//! Late binding: a prompt is queued at two targets and starts at the first that has a free slot.
 //!
-//! Output lengths are unknown, so the queue that looked shorter when the request came is often
-//! not the one that is free first. And if one of the two agents dies while the request waits, the
-//! other covers it without the caller noticing.
+//! Output lengths are unknown, so the queue that is shorter when the request arrives is often not
+//! the one that is free first. If one of the two agents fails while the request is queued, the
+//! other serves it without an error for the caller.
 
 use crate::Reason;
 use crate::attempt::Attempt;
@@ -14,24 +14,24 @@
 use std::time::Duration;
 use wire::{EventKind, Progress, Request, Work};
 
-/// How long a request waits for a connection to an agent before another target is tried.
+/// Time to wait for a connection to an agent before another target is tried.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An attempt that may start, with the event that was read from it already, if any.
+/// An attempt that may start, with the event that was already received from it, if any.
 pub(crate) struct Started {
     pub(crate) attempt: Attempt,
     pub(crate) first: Option<EventKind>,
-    /// Whether the target reads the prompt only.
+    /// Whether the target only prefills the prompt.
     pub(crate) prefilling: bool,
 }
 
-/// One of the places where the request waits.
+/// An attempt that was submitted to one target.
 struct SubmittedAttempt {
     attempt: Attempt,
     prefilling: bool,
 }
 
-/// Starts a prompt at the first of `picks` that is free.
+/// Starts a prompt at the first of `targets` that has a free slot.
 pub(crate) async fn start(
     shared: &Shared,
     request: &Request,
@@ -45,7 +45,7 @@
         Some(second) if !first.idle && !second.idle && second.configured.peer.is_connected() => {
             race(shared, request, &first, &second).await
         }
-        // A target with room starts at once; waiting for its offer would only cost a round trip.
+        // An idle target starts at once; waiting for its offer would only add a round trip.
         Some(_) | None => {
             let SubmittedAttempt { attempt, prefilling } =
                 submit(shared, request, &first, false).await?;
@@ -72,7 +72,7 @@
         kind = second_attempt.attempt.next() => (kind, second_attempt, first_attempt),
     };
     match begin_if_offered(&mut winner, kind).await {
-        // Dropping the loser cancels it before it was begun, so it can't start as well.
+        // Dropping the loser cancels it before [`Attempt::begin`], so it can't start as well.
         Ok(first) => {
             let SubmittedAttempt { attempt, prefilling } = winner;
             Ok(Started { attempt, first, prefilling })
@@ -82,7 +82,7 @@
     }
 }
 
-/// Waits for the offer of the only target left.
+/// Waits for the offer of the only remaining attempt.
 async fn wait_for_offer(mut submitted: SubmittedAttempt) -> Result<Started, Failure> {
     let kind = submitted.attempt.next().await;
     let first = begin_if_offered(&mut submitted, kind).await?;
@@ -90,7 +90,7 @@
     Ok(Started { attempt, first, prefilling })
 }
 
-/// Begins a held attempt that was offered; returns an event that came instead of the offer.
+/// Begins a held attempt that was offered; returns the event that arrived instead of an offer.
 async fn begin_if_offered(
     submitted: &mut SubmittedAttempt,
     kind: Option<EventKind>,
@@ -135,7 +135,7 @@
     Ok(SubmittedAttempt { attempt, prefilling })
 }
 
-/// Asks a prefill engine for the prompt's part only; returns whether it did.
+/// Limits the request to prefill if the target is a prefill engine; returns whether it did.
 fn set_prefill_only(request: &mut Request, target: &SelectedTarget) -> bool {
     let Some(Work::Prompt(prompt)) = &mut request.work else { return false };
     let prefilling = target.role == Role::Prefill && prompt.resume_tokens == 0;
@@ -143,7 +143,7 @@
     prefilling
 }
 
-/// Says for an explanation where a prompt goes.
+/// Describes the chosen targets for an explanation.
 pub(crate) fn describe(targets: &[SelectedTarget]) -> compact_str::CompactString {
     let mut text = compact_str::CompactString::const_new("candidates");
     for target in targets {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,14 +1,15 @@
-//! The process on each entry VM: callers' HTTP on one side, agents on the other.
+//! The entry process: accepts HTTP requests from callers and forwards them to agents.
 //!
-//! It holds no state that cannot be rebuilt: the log gives it the configuration, and agents tell
-//! their load with every reply.
+//! It holds no state that cannot be rebuilt: the configuration comes from the log, and each reply
+//! of an agent carries its load.
 //!
-//! - [`Context`]: what the entry sees of the world, which tests replace.
-//! - [`Entry`]: the entry without a socket for callers.
-//! - [`Daemon`]: the process itself.
+//! - [`Context`]: the entry's dependencies, which tests replace.
+//! - [`Entry`]: the entry without a listening socket for callers.
+//! - [`Daemon`]: the entry with its listening socket.
 //! - [`ProcessStatus`]: how far another process has applied the configuration.
-//! - [`Reason`] and [`Run`]: what callers are told of requests that get no answer.
-//! - [`Explanation`]: where a request was sent and why.
+//! - [`Reason`] and [`Execution`]: the reason for a failed request and whether it was executed, as
+//! reported to callers.
+//! - [`Explanation`]: which targets a request was sent to, and why.
 
 mod agent_queries;
 mod attempt;
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,9 +1,9 @@
-//! One prompt from its first attempt to the end of its answer, over as many targets as it takes.
+//! Relays the response to one prompt, with as many attempts at different targets as it takes.
 //!
-//! What could go wrong: an engine or agent dies in the middle of an answer, or an event is
-//! doubled, late or missing, and the caller gets a cut or garbled answer. Each piece therefore
-//! carries the token it begins at. Only the piece that is next is passed on; after a loss the
-//! request is resumed elsewhere from the last token passed on.
+//! An engine or agent can fail in the middle of a response, and events can be duplicated, delayed
+//! or lost. So that the caller never receives a truncated or corrupted response, each piece carries
+//! the offset of its first token and only the piece that follows the last one is forwarded. After a
+//! failure the request is resumed at another target from the last token forwarded.
 
 use crate::Reason;
 use crate::attempt::Attempt;
@@ -26,32 +26,32 @@
 use tokio::time::Instant;
 use wire::{Delta, End, EventKind, Finish, Progress, Prompt, Request, Work};
 
-/// After what silence in the middle of an answer its target counts as stuck: far above any time
-/// between two tokens, also behind a long prompt in the same batch.
+/// Time without an event after which a target counts as stalled in the middle of a response. It is
+/// far above the time between two tokens, even with a long prompt in the same batch.
 const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long an answer that goes on elsewhere may wait for a slot there. Its caller has a part of
-/// it already, so it waits longer than a fresh one would: after the crash of a third of the
-/// engines, until the first of the answers on the others end.
+/// Time that a resumed response may wait for a slot at another target. It is longer than for a new
+/// request, since the caller already has a part of the response: after the crash of a third of the
+/// engines it covers the time until the first responses at the other engines end.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long the news of a crash is waited for: an append and a read of a slow log.
+/// Time to wait for the log's record of a crash: one append and one read of a slow log.
 const CRASH_RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A piece of an answer.
+/// A piece of a response.
 pub(crate) enum Piece {
     /// The next text.
     Text {
-        /// The text.
+        /// The text of the piece.
         text: String,
-        /// The event id from which the caller may go on.
+        /// The event id from which the caller can resume.
         id: String,
     },
-    /// The answer is complete.
+    /// The response is complete.
     End(End),
 }
 
-/// One prompt on its way.
+/// A prompt whose response is being relayed.
 pub(crate) struct Relay {
     shared: Arc<Shared>,
     request: Request,
@@ -59,40 +59,40 @@
     recorder: ExplanationRecorder,
     history: AttemptHistory,
     attempt: Option<Attempt>,
-    /// Held from the first attempt on, so that copies of the request wait for what becomes of it.
+    /// Held from the first attempt on, so that identical requests wait for its outcome.
     duplicate_guard: Option<DuplicateGuard>,
-    /// Whether the attempt ends with the prompt's part.
+    /// Whether the attempt ends after prefill.
     prefilling: bool,
     tried: Vec<Name>,
     retries: u32,
     crashes: u32,
-    /// How many tokens the caller had when this entry took the request.
+    /// Number of tokens that the caller already had when this entry received the request.
     initial_tokens: u32,
-    /// Whether the answer can be resumed elsewhere: all its text is known here.
+    /// Whether the response can be resumed at another target, which needs all its text.
     resumable: bool,
     deadline: Deadline,
     started_at: Instant,
-    /// When the attempt's first piece came, and the token at its end.
+    /// When the attempt's first piece arrived, and the offset of the token after it.
     first_token: Option<(Instant, u32)>,
 }
 
-/// Until when an answer is worth something.
+/// Deadline of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Deadline {
-    /// Until its first token, for streams.
+    /// Applies to the first token, for streams.
     FirstToken(Instant),
-    /// Until its last token, for whole answers.
+    /// Applies to the last token, for responses in one piece.
     Complete(Instant),
 }
 
-/// What the next event means for the answer.
+/// How to proceed after an event.
 enum NextStep {
     Piece(Piece),
     Continue,
 }
 
 impl Relay {
-    /// Makes the relay of a prompt; nothing is sent before [`Relay::next`].
+    /// Creates the relay of a prompt; nothing is sent before [`Relay::next`].
     pub(crate) fn new(
         shared: Arc<Shared>,
         request: Request,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Goes on with an answer that another entry began, through `attempt`.
+    /// Resumes a response that another entry began, through `attempt`.
     pub(crate) fn attached(mut self, attempt: Attempt, from_token: u32) -> Self {
         self.attempt = Some(attempt);
         self.prompt.resume_tokens = from_token;
@@ -129,7 +129,7 @@
         self
     }
 
-    /// The next piece of the answer; after an error or the end there is none.
+    /// Returns the next piece of the response; must not be called after an error or the end.
     pub(crate) async fn next(&mut self) -> Result<Piece, Problem> {
         loop {
             let wait_until = self.wait_deadline();
@@ -146,7 +146,7 @@
         }
     }
 
-    /// When to stop waiting for the next event.
+    /// Returns when to stop waiting for the next event.
     fn wait_deadline(&self) -> Instant {
         let unstarted = self.prompt.resume_tokens == 0;
         let stall_timeout = if self.first_token.is_none() { RESUME_TIMEOUT } else { STALL_TIMEOUT };
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The next event of the attempt, which is started if there is none.
+    /// Returns the next event of the current attempt, or starts an attempt if there is none.
     async fn next_event(&mut self) -> Result<EventKind, Failure> {
         if self.attempt.is_none() {
             if self.duplicate_guard.is_none() {
@@ -197,7 +197,7 @@
         started
     }
 
-    /// The targets to try, by the log's records of crashes and by load.
+    /// Chooses the targets to try, by load and by the crashes recorded in the log.
     fn select_targets(&self) -> Result<Vec<SelectedTarget>, Failure> {
         let fingerprint = self.request.fingerprint;
         let verdict =
@@ -214,11 +214,11 @@
         }
     }
 
-    /// Refuses early what can't begin in time behind the work at the targets picked.
+    /// Refuses a request early if it can't begin in time after the work ahead of it at `targets`.
     ///
-    /// Not what is urgent: it goes before that work, and only the agent knows what goes before it.
-    /// When it was judged by all work ahead, a fleet at three times its load refused 95 of 100
-    /// urgent replies as too late, which would have begun within 60 ms.
+    /// Urgent requests are exempt: they go ahead of that work, and only the agent knows their own
+    /// queue. When they were judged by all work ahead, a fleet at three times its load refused 95
+    /// of 100 urgent requests as too late that would have begun within 60 ms.
     fn admit(&self, targets: &[SelectedTarget], remaining: Duration) -> Result<(), Failure> {
         let cost =
             Cost::new(u64::from(self.prompt.prompt_tokens), u64::from(self.prompt.expected_tokens));
@@ -237,7 +237,8 @@
             EventKind::Delta(delta) => self.handle_delta(delta),
             EventKind::End(end) => self.handle_end(end),
             EventKind::Refusal(refusal) if self.is_unanswered_attach() => {
-                // Whatever the agent's reason, it must not tell whether others have this answer.
+                // The response must not reveal whether another caller has a response with this id,
+                // whatever the agent's reason.
                 let detail = "you have no answer of this id".to_owned();
                 let failure = Failure::from_refusal(refusal);
                 Err(Failure { reason: Reason::UnknownAnswer, detail, ..failure })
@@ -248,12 +249,12 @@
         }
     }
 
-    /// Whether this goes on with another entry's answer and has not got any of it yet.
+    /// Whether this resumes another entry's response and has received no piece of it yet.
     fn is_unanswered_attach(&self) -> bool {
         !self.resumable && self.prompt.resume_tokens == self.initial_tokens
     }
 
-    /// Passes a piece on if it is the next one; one that the caller already has is dropped.
+    /// Forwards a piece if it is the next one; drops pieces that the caller already has.
     fn handle_delta(&mut self, delta: Delta) -> Result<NextStep, Failure> {
         let delivered = self.prompt.resume_tokens;
         let end = delta.from_token.saturating_add(delta.tokens);
@@ -299,13 +300,13 @@
         Ok(NextStep::Piece(Piece::End(end)))
     }
 
-    /// Learns from a complete answer: its length, and how fast its target generated.
+    /// Updates estimates from a complete response: its length and its target's decode speed.
     fn learn(&mut self, end: &End) {
         let tokens = end.output_tokens;
         let decisions = &self.shared.decisions;
         let (caller, model) = (&self.request.caller, &self.prompt.model);
         decisions.learn(caller, model, tokens);
-        // A prompt whose KV cache came from elsewhere says nothing of the prefix cache.
+        // A prompt whose KV cache was transferred gives no information about the prefix cache.
         if self.prompt.kv_source.is_empty() && self.retries == 0 {
             decisions.learn_cached(caller, model, end.prompt_tokens, end.cached_tokens);
         }
@@ -316,7 +317,7 @@
         }
     }
 
-    /// Goes on at a decode engine, which imports the KV cache of the prefill engine.
+    /// Continues at a decode engine, which imports the KV cache of the prefill engine.
     fn switch_to_decode(&mut self) {
         if let Some(attempt) = self.attempt.take() {
             self.prompt.kv_source = attempt.target().to_string();
@@ -339,7 +340,7 @@
         Failure { reason, progress, retry_after: None, detail: detail.to_owned() }
     }
 
-    /// Prepares another attempt after a failed one, or says that there will be none.
+    /// Prepares the next attempt after a failure; returns the problem if there must be none.
     async fn prepare_retry(&mut self, failure: Failure) -> Result<(), Problem> {
         let target = self.attempt.take().map(|attempt| attempt.target().clone());
         let name = target.as_deref().unwrap_or("no target");
@@ -356,8 +357,8 @@
         self.crashes += u32::from(crashed(&failure));
         self.first_token = None;
         self.prefilling = false;
-        // The cache may be what failed, or be gone with its engine; only after a planned change is
-        // it kept, for the target that goes on.
+        // The transferred cache may be the cause of the failure, or be lost with its engine. Only a
+        // planned change keeps it, for the target that continues.
         self.prompt.kv_source.clear();
         if let Some(target) = target.as_ref().filter(|_| keeps_kv_cache(&failure)) {
             self.prompt.kv_source = target.to_string();
@@ -388,29 +389,30 @@
         Ok(())
     }
 
-    /// Waits until the log says of the crash, or does not in time.
+    /// Waits until the log has a record of the crash, or until a timeout.
     ///
-    /// Without it the request would be tried on a second engine before it is known that another
-    /// entry's copy has crashed one too: two entries took down four engines.
+    /// Without it the request would be retried on a second engine before this entry learns that the
+    /// same request sent to another entry has crashed an engine too: two entries crashed four
+    /// engines.
     async fn wait_for_crash_record(&self) {
         let mut system = self.shared.system.clone();
         let is_recorded = |system: &Arc<System>| system.suspect(self.request.fingerprint).is_some();
         let started_at = Instant::now();
-        // In vain means that the log is out or slow, or that the engine did not crash.
+        // A timeout means that the log is unavailable or slow, or that the engine did not crash.
         if tokio::time::timeout(CRASH_RECORD_TIMEOUT, system.wait_for(is_recorded)).await.is_ok() {
-            // Another entry's copy may have crashed an engine at the same time; the news of that
-            // takes as long.
+            // An identical request at another entry may have crashed an engine at the same time;
+            // its record takes as long to arrive.
             tokio::time::sleep(started_at.elapsed()).await;
         }
     }
 }
 
-/// Whether the target crashed under the attempt, and did not merely fall silent.
+/// Whether the target crashed during the attempt, rather than being unresponsive.
 fn crashed(failure: &Failure) -> bool {
     failure.reason == Reason::TargetBroken && failure.progress == Progress::Started
 }
 
-/// Whether a planned change took the attempt out of a target that keeps its KV cache.
+/// Whether a planned change interrupted the attempt at a target that keeps its KV cache.
 fn keeps_kv_cache(failure: &Failure) -> bool {
     failure.reason == Reason::Draining && failure.progress == Progress::Started
 }
--- a/crates/entry/src/target_table.rs
+++ b/crates/entry/src/target_table.rs
@@ -1,7 +1,7 @@
-//! The targets as candidates for work, kept up to date as news comes, and the choice among them.
+//! Tracks the state of all configured targets and chooses among them.
 //!
-//! The choice itself is [`policy::route`]'s; here is what it chooses among. News changes one
-//! candidate where it stands, so that a request neither copies nor converts any load.
+//! The algorithm is [`policy::route`]; this module maintains its candidates. Updates modify a
+//! candidate in place, so that requests neither copy nor convert load reports.
 
 use crate::random::Random;
 use crate::view::{ConfigView, ConfiguredTarget};
@@ -15,29 +15,29 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A target that may run a request.
+/// A target chosen for a request.
 pub(crate) struct SelectedTarget {
     pub(crate) configured: Arc<ConfiguredTarget>,
-    /// The role that its engine has, as last heard.
+    /// Role of its engine, as last reported.
     pub(crate) role: Role,
-    /// Whether it has room at once, as last heard.
+    /// Whether it has a free slot and an empty queue, as last reported.
     pub(crate) idle: bool,
-    /// Work there before the request's own.
+    /// Cost of the work ahead of the request at this target.
     pub(crate) ahead: Cost,
-    /// How fast it is.
+    /// Prefill and decode rates.
     pub(crate) rates: Rates,
 }
 
-/// What a choice is made for.
+/// Criteria for choosing targets.
 pub(crate) struct Criteria<'a> {
     pub(crate) query: Query,
-    /// Stages to look for instead if no target can do the query's.
+    /// Stages to try in order if no target can serve the query's stage.
     pub(crate) fallback_stages: &'a [Stage],
-    /// Targets that failed this request before, taken only if there is no other.
+    /// Targets that failed this request before; chosen only if there is no other.
     pub(crate) tried: &'a [Name],
 }
 
-/// All configured targets as candidates.
+/// Table of all configured targets.
 #[derive(Default)]
 pub(crate) struct TargetTable {
     inner: Mutex<Inner>,
@@ -49,16 +49,16 @@
     statuses: Vec<TargetStatus>,
     by_address: HashMap<CompactString, usize>,
     by_name: HashMap<Name, usize>,
-    /// How many targets serve a name.
+    /// Number of targets that serve each name.
     server_counts: HashMap<Hash, usize>,
     route: Weighted,
     outliers: OutlierDetector,
 }
 
-/// What is known of a target beside the candidate.
+/// State of a target that is not part of its candidate.
 struct TargetStatus {
     configured: Arc<ConfiguredTarget>,
-    /// What the load said was served, to notice a change without hashing.
+    /// Served names of the last load report, to detect changes without hashing.
     serves: Vec<String>,
     accepting: Option<bool>,
     vm: policy::drain::VmState,
@@ -66,7 +66,7 @@
 }
 
 impl TargetTable {
-    /// Takes a new configuration in, keeping what is known of targets that stay the same.
+    /// Applies a new configuration and keeps the state of targets that did not change.
     pub(crate) fn apply_config(&self, view: &ConfigView, now: Time) {
         let mut inner = self.lock();
         let mut targets: Vec<_> = view.targets().cloned().collect();
@@ -97,7 +97,7 @@
         inner.refresh_all(now);
     }
 
-    /// Takes the load that an agent told in.
+    /// Applies a load report of the agent at `address`.
     pub(crate) fn update_load(&self, address: &str, load: &wire::Load, now: Time) {
         let mut inner = self.lock();
         let Some(&index) = inner.by_address.get(address) else { return };
@@ -114,12 +114,12 @@
         inner.refresh(index, now);
     }
 
-    /// How many targets serve a name, whether they take work now or not.
+    /// Returns how many targets serve a name, including those that accept no work now.
     pub(crate) fn server_count(&self, name: &str) -> usize {
         self.lock().server_counts.get(&policy::hash(name)).copied().unwrap_or_default()
     }
 
-    /// The version of a model that most targets serve, with an adapter if one is named.
+    /// Returns the version of a model that most targets serve, with the adapter if one is named.
     pub(crate) fn most_served_version(&self, model: &str, adapter: &str) -> Option<Name> {
         let inner = self.lock();
         let names = inner.statuses.iter().flat_map(|status| &status.serves);
@@ -129,7 +129,7 @@
         counts.into_iter().max_by_key(|(_, count)| *count).map(|(version, _)| version.into())
     }
 
-    /// Notes that the connection to an agent stands, or does not.
+    /// Records whether the agent at `address` is connected.
     pub(crate) fn set_connected(&self, address: &str, connected: bool, now: Time) {
         let mut inner = self.lock();
         if let Some(&index) = inner.by_address.get(address) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Takes the platform's list in.
+    /// Updates the state of each target's VM.
     pub(crate) fn set_vms(&self, vm_state: impl Fn(&str) -> policy::drain::VmState, now: Time) {
         let mut inner = self.lock();
         for status in &mut inner.statuses {
@@ -147,7 +147,7 @@
         inner.refresh_all(now);
     }
 
-    /// Takes in how an attempt at a target went.
+    /// Records the outcome of an attempt at a target.
     pub(crate) fn record_sample(&self, target: &Name, sample: Sample, now: Time) {
         let mut inner = self.lock();
         inner.outliers.sample(target, sample, now);
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The best targets, best first, at most two. The first is booked as having got the work.
+    /// Chooses up to two targets, best first, and records the work as sent to the first.
     pub(crate) fn choose(
         &self,
         criteria: &Criteria<'_>,
@@ -180,11 +180,11 @@
         chosen
     }
 
-    /// The one target of a model that all entries choose for `key`, if it is able now.
+    /// Returns the target that all entries choose for `key`, if it can serve the query now.
     ///
-    /// It is chosen whether it is able or not, but not among those in `crashed`: were it among the
-    /// able ones, an entry that sees the chosen one down, because the key's request just crashed it
-    /// there, would choose another and have that crashed too.
+    /// The choice ignores availability and excludes only targets in `crashed`. If it considered
+    /// only available targets, an entry that finds the chosen target down, because the request with
+    /// this key has just crashed it, would choose another and crash that as well.
     pub(crate) fn rendezvous(
         &self,
         model: &str,
@@ -232,8 +232,8 @@
         self.candidates[index].usable = status.accepts_work() && status.connected && !ejected;
     }
 
-    /// Chooses among connected targets; then among those that failed this request before; then
-    /// among all that could be there, whose connections are still to be opened.
+    /// Chooses among connected targets, then among those that failed this request before, then
+    /// among targets that are not connected yet.
     fn choose(&mut self, criteria: &Criteria<'_>, now: Time, random: &Random) -> Vec<usize> {
         let tried = criteria.tried.iter().filter_map(|name| self.by_name.get(name).copied());
         let tried: Vec<usize> =
@@ -303,8 +303,8 @@
     }
 }
 
-/// The version in a served name of the form `model@version+adapter`, if it is of this model and
-/// adapter; empty for the weights that engines start with.
+/// Returns the version in a served name of the form `model@version+adapter` if model and adapter
+/// match; empty for the weights that engines start with.
 fn version_of<'a>(name: &'a str, model: &str, adapter: &str) -> Option<&'a str> {
     let (base, with) = name.split_once('+').unwrap_or((name, ""));
     let (of, version) = base.split_once('@').unwrap_or((base, ""));
@@ -318,7 +318,7 @@
     }
 }
 
-/// The name under which a service stands among what targets serve.
+/// Returns the key under which targets serve a plain service.
 pub(crate) fn service_key(service: &str) -> Hash {
     policy::hash(&format!("service:{service}"))
 }
@@ -337,7 +337,8 @@
     (candidate, TargetStatus { configured, serves: Vec::new(), accepting: None, vm, connected })
 }
 
-/// What an engine should serve by its resource, until its agent says what it does serve.
+/// Returns the names that an engine should serve by its configuration, used until its agent reports
+/// the names that it does serve.
 fn configured_names(configured: &ConfiguredTarget) -> Vec<Hash> {
     let models = configured.spec.models.iter();
     let names = models.flat_map(|model| {
