--- a/crates/entry/src/calls.rs
+++ b/crates/entry/src/calls.rs
@@ -1,8 +1,9 @@
-//! One call of a plain service.
+//! Runs one call of a plain service.
 //!
-//! What could go wrong: a transfer is sent to two targets because the first seemed dead, and funds
-//! move twice. A call that may not be repeated therefore goes to one target only, the home of its
-//! key, once; whatever happens then is reported and never tried again from here.
+//! If a call were sent to a second target because the first seemed to have failed, it could take
+//! effect twice, for example transfer funds twice. A call that may not be repeated is therefore
+//! sent once, to the target that its key determines. Any failure is reported to the caller and the
+//! entry does not retry.
 
 use crate::Reason;
 use crate::attempt::Attempt;
@@ -21,26 +22,26 @@
 use tokio::time::Instant;
 use wire::{Call, EventKind, Head, Progress, Request, Work};
 
-/// How long a call waits for a connection to its target's agent.
+/// Time that a call waits for a connection to its target's agent.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes of a body that are collected before the caller gets any: up to here a lost target can
-/// still be answered with a retry or a truthful problem instead of a cut body.
+/// Bytes of a body that are buffered before the caller receives any. Up to this size the loss of a
+/// target can be handled by a retry or reported as a problem; beyond it the body is truncated.
 const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// How long the first bytes are held back for the rest.
+/// Maximum time that the first part of a body is buffered.
 const MAX_BUFFER_TIME: Duration = Duration::from_millis(50);
 
-/// A response whose head is known.
+/// A response whose head has arrived.
 pub(crate) struct ServiceResponse {
     pub(crate) head: Head,
-    /// The body as far as it has come.
+    /// The first part of the body.
     pub(crate) body: Bytes,
-    /// Gives the rest of the body, if there is more.
+    /// Receives the rest of the body, if there is more.
     pub(crate) rest: Option<Attempt>,
 }
 
-/// One call on its way.
+/// A call in progress.
 pub(crate) struct ServiceCall<'a> {
     pub(crate) shared: &'a Shared,
     pub(crate) request: Request,
@@ -146,7 +147,7 @@
     }
 }
 
-/// Collects the response's head and the first part of its body, or all of it if it is short.
+/// Receives the response's head and the first part of its body; the flag is set if that is all.
 async fn response(attempt: &mut Attempt) -> Result<(Head, Bytes, bool), Failure> {
     let head = loop {
         match attempt.next().await {
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -1,26 +1,27 @@
-//! The one place that decides what a caller is told of a request that gets no complete answer.
+//! Determines what is reported to a caller about a request without a complete response.
 //!
-//! What could go wrong: a caller is told "not run" of a call that ran or may yet run, sends it
-//! again, and funds move twice. All attempts of a request are therefore noted in one [`Trail`],
-//! and only a trail without a single attempt that may have reached its target says `not-run`.
+//! If a call that ran, or may yet run, were reported as `not-run`, its caller would repeat it and
+//! it could take effect twice, for example transfer funds twice. All attempts of a request are
+//! therefore recorded in one [`AttemptHistory`], and only a history without any attempt that may
+//! have reached its target results in `not-run`.
 
 use crate::Reason;
 use std::time::Duration;
 use wire::{Progress, Refusal};
 
-/// Whether a request was run, as callers are told.
+/// Whether a request was executed, as reported to callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// Nothing of it reached a target, and nothing will.
+    /// No part of the request has reached a target, and none will.
     NotRun,
-    /// It may not be repeated, and nobody can say whether it took effect.
+    /// The request may not be repeated, and whether it took effect is unknown.
     Unknown,
-    /// It may be repeated; some of it ran, or may have run, without a complete answer.
+    /// The request may be repeated; a part of it ran, or may have run, without a complete response.
     Run,
 }
 
 impl Execution {
-    /// The stable name that callers read.
+    /// Returns the stable name that callers receive.
     pub fn name(self) -> &'static str {
         match self {
             Execution::NotRun => "not-run",
@@ -30,32 +31,32 @@
     }
 }
 
-/// Why and how far an attempt or a whole request failed.
+/// Why and after what progress an attempt or a whole request failed.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Failure {
-    /// Why.
+    /// The reason.
     pub(crate) reason: Reason,
-    /// How far the attempt had come.
+    /// Progress of the attempt before it failed.
     pub(crate) progress: Progress,
-    /// After what time another try is worth it, if that is known.
+    /// Time after which a retry may succeed, if known.
     pub(crate) retry_after: Option<Duration>,
-    /// More for a person to read.
+    /// Human-readable detail.
     pub(crate) detail: String,
 }
 
 impl Failure {
-    /// A failure before anything was sent to a target.
+    /// Creates a failure of a request that was not sent to any target.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self { reason, progress: Progress::NotRun, retry_after: None, detail: detail.into() }
     }
 
-    /// The loss of the connection to an agent that may have begun the attempt.
+    /// Creates the failure for a lost connection to an agent that may have begun the attempt.
     pub(crate) fn connection_lost(progress: Progress) -> Self {
         let detail = "the connection to the target's agent was lost".to_owned();
         Self { reason: Reason::AgentLost, progress, retry_after: None, detail }
     }
 
-    /// What an agent said when it gave an attempt up.
+    /// Converts an agent's refusal.
     pub(crate) fn from_refusal(refusal: Refusal) -> Self {
         let progress = refusal.progress();
         let retry_after = Duration::from_millis(refusal.retry_after_ms);
@@ -67,14 +68,14 @@
         }
     }
 
-    /// The same failure with a time after which to come again.
+    /// Sets the time after which a retry may succeed.
     pub(crate) fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 }
 
-/// How far all attempts of one request have come together.
+/// Combined progress of all attempts of one request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptHistory {
     repeatable: bool,
@@ -82,12 +83,12 @@
 }
 
 impl AttemptHistory {
-    /// Begins the trail of a request that may or may not be repeated.
+    /// Creates an empty history of a request that may, or may not, be repeated.
     pub(crate) fn new(repeatable: bool) -> Self {
         Self { repeatable, reached: false }
     }
 
-    /// Notes that an attempt is over and how far it came.
+    /// Records the progress of an attempt that has ended.
     pub(crate) fn record(&mut self, progress: Progress) {
         self.reached |= match progress {
             Progress::NotRun => false,
@@ -95,12 +96,12 @@
         };
     }
 
-    /// Whether another attempt can do no harm.
+    /// Whether another attempt is safe.
     pub(crate) fn may_retry(&self) -> bool {
         self.repeatable || !self.reached
     }
 
-    /// What the caller is told if no further attempt is made.
+    /// Returns what is reported to the caller if there is no further attempt.
     pub(crate) fn execution(&self) -> Execution {
         match (self.reached, self.repeatable) {
             (false, _) => Execution::NotRun,
--- a/crates/entry/src/reason.rs
+++ b/crates/entry/src/reason.rs
@@ -1,24 +1,25 @@
-//! All reasons for which a request gets no answer; `docs/CALLERS.md` lists them for callers.
+//! The reasons for which a request fails; `docs/CALLERS.md` documents them for callers.
 
 use salvo::http::StatusCode;
 
-/// Makes the enum, its stable names and statuses from one list, so that none can be forgotten.
+/// Generates the enum, its stable names and its statuses from one list, so that no variant lacks
+/// one.
 macro_rules! reasons {
     ($($(#[$doc:meta])* $variant:ident = $name:literal, $status:ident;)*) => {
-        /// Why a request gets no answer.
+        /// Why a request failed.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum Reason { $($(#[$doc])* $variant,)* }
 
         impl Reason {
-            /// All reasons.
+            /// All variants.
             pub const ALL: &[Reason] = &[$(Reason::$variant,)*];
 
-            /// The stable name, in kebab case.
+            /// Returns the stable name, in kebab case.
             pub fn name(self) -> &'static str {
                 match self { $(Reason::$variant => $name,)* }
             }
 
-            /// The HTTP status that goes with it.
+            /// Returns the HTTP status.
             pub fn status(self) -> StatusCode {
                 match self { $(Reason::$variant => StatusCode::$status,)* }
             }
@@ -27,19 +28,19 @@
 }
 
 reasons! {
-    /// The body is no valid request.
+    /// The body is not a valid request.
     BadBody = "bad-body", BAD_REQUEST;
     /// A header is invalid or contradicts another.
     BadHeader = "bad-header", BAD_REQUEST;
-    /// No caller has the bearer token.
+    /// The bearer token belongs to no caller.
     UnknownCaller = "unknown-caller", UNAUTHORIZED;
-    /// No such model is in the configuration.
+    /// The model is not configured.
     UnknownModel = "unknown-model", NOT_FOUND;
-    /// No such service is in the configuration.
+    /// The service is not configured.
     UnknownService = "unknown-service", NOT_FOUND;
-    /// There is no answer of this caller's with the event id.
+    /// The caller has no response with this event id.
     UnknownAnswer = "unknown-answer", NOT_FOUND;
-    /// The path leads nowhere.
+    /// There is no route with this path.
     UnknownPath = "unknown-path", NOT_FOUND;
     /// The body did not arrive in time.
     BodyTimeout = "body-timeout", REQUEST_TIMEOUT;
@@ -47,64 +48,64 @@
     BodyTooLarge = "body-too-large", PAYLOAD_TOO_LARGE;
     /// The idempotency key was used for another call.
     KeyReused = "key-reused", UNPROCESSABLE_ENTITY;
-    /// The caller used more tokens a second than it may.
+    /// The caller has used up its tokens per second.
     RateLimit = "rate-limit", TOO_MANY_REQUESTS;
-    /// The caller has more requests open than it may.
+    /// The caller has too many open requests.
     ConcurrencyLimit = "concurrency-limit", TOO_MANY_REQUESTS;
-    /// The entry holds as many requests or bytes as it can.
+    /// The entry holds its maximum of requests or body bytes.
     EntryFull = "entry-full", SERVICE_UNAVAILABLE;
-    /// The entry does not know the configuration yet.
+    /// The entry has not received the configuration yet.
     NotReady = "not-ready", SERVICE_UNAVAILABLE;
-    /// It can't begin before its deadline, behind the work that is ahead of it.
+    /// The request can't begin before its deadline because of the work ahead of it.
     Overloaded = "overloaded", SERVICE_UNAVAILABLE;
     /// The deadline passed.
     DeadlineExceeded = "deadline-exceeded", GATEWAY_TIMEOUT;
-    /// No target in service can do this.
+    /// No active target can serve the request.
     NoTarget = "no-target", SERVICE_UNAVAILABLE;
     /// The target's agent can't be reached.
     AgentUnreachable = "agent-unreachable", SERVICE_UNAVAILABLE;
     /// The connection to the agent was lost.
     AgentLost = "agent-lost", BAD_GATEWAY;
-    /// The request crashed targets and is not run any more.
+    /// The request crashed targets and is blocked.
     Quarantined = "quarantined", SERVICE_UNAVAILABLE;
-    /// The target can't be reached by its agent.
+    /// The agent can't connect to its target.
     TargetDown = "target-down", SERVICE_UNAVAILABLE;
-    /// The target refused it.
+    /// The target refused the request.
     TargetRefused = "target-refused", SERVICE_UNAVAILABLE;
-    /// The target broke off.
+    /// The target stopped responding during the request.
     TargetBroken = "target-broken", BAD_GATEWAY;
-    /// The target does other work.
+    /// The target does not serve this model or service.
     WrongTarget = "wrong-target", SERVICE_UNAVAILABLE;
-    /// A planned change is under way at the target.
+    /// The target is draining for a planned change.
     Draining = "draining", SERVICE_UNAVAILABLE;
-    /// The target was free, but the entry did not begin in time.
+    /// The agent offered a slot, but the entry did not begin the attempt in time.
     OfferExpired = "offer-expired", SERVICE_UNAVAILABLE;
-    /// The agent has as many attempts of this entry as it takes.
+    /// The entry has too many open attempts at the agent.
     TooManyAttempts = "too-many-attempts", SERVICE_UNAVAILABLE;
-    /// The attempt's id is in use at the agent.
+    /// The agent already has an attempt with this id.
     AttemptReused = "attempt-reused", SERVICE_UNAVAILABLE;
     /// The attempt was cancelled at the agent.
     Cancelled = "cancelled", SERVICE_UNAVAILABLE;
-    /// The caller took nothing for too long.
+    /// The caller did not read its response for too long.
     SlowReader = "slow-reader", REQUEST_TIMEOUT;
     /// The agent's queue is full.
     QueueFull = "queue-full", SERVICE_UNAVAILABLE;
-    /// The log is out, without which a call that may not be repeated is not begun.
+    /// The log is unavailable, and without it no call that may not be repeated is begun.
     LogUnavailable = "log-unavailable", SERVICE_UNAVAILABLE;
-    /// The agent does not hold its target at present.
+    /// The agent does not hold the claim to its target at present.
     NoClaim = "no-claim", SERVICE_UNAVAILABLE;
-    /// The same call is under way.
+    /// The same call is in progress.
     InProgress = "in-progress", CONFLICT;
-    /// The call ran and was answered, but its answer was too large to be kept.
+    /// The call was executed, but its response was too large to be recorded.
     AnswerNotKept = "answer-not-kept", GONE;
-    /// The call was begun and its outcome is not known.
+    /// The call was begun and its outcome is unknown.
     OutcomeUnknown = "outcome-unknown", BAD_GATEWAY;
-    /// The target or its agent gave a reason that this entry does not know yet.
+    /// The target or its agent gave a reason that this version does not know.
     Other = "other", SERVICE_UNAVAILABLE;
 }
 
 impl Reason {
-    /// Whether another target may do what one did not, for this reason.
+    /// Whether the request may succeed at another target after a failure for this reason.
     pub(crate) fn may_succeed_elsewhere(self) -> bool {
         match self {
             Reason::NoTarget
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Whether the target failed, and was not merely full or the wrong one.
+    /// Whether the reason is a failure of the target, rather than overload or a wrong choice of
+    /// target.
     pub(crate) fn is_target_fault(self) -> bool {
         matches!(
             self,
@@ -159,7 +161,7 @@
         )
     }
 
-    /// Finds a reason by its stable name.
+    /// Returns the reason with this stable name, or [`Reason::Other`].
     pub fn from_name(name: &str) -> Self {
         let found = Self::ALL.iter().find(|reason| reason.name() == name);
         found.copied().unwrap_or(Reason::Other)
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: what it needs, put to the board of targets.
+//! Chooses the targets of a request from its model or service, stage, prefix and failure domain.
 
 use crate::daemon::Shared;
 use crate::target_table::{Criteria, SelectedTarget, service_key};
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use wire::Prompt;
 
-/// The best targets for a prompt, best first, at most two.
+/// Returns up to two targets for a prompt, best first.
 ///
-/// A fresh prompt goes to a prefill or mixed engine, a resumed one to a decode or mixed engine;
-/// an engine of the wrong role is better than none.
+/// A new prompt goes to a prefill or mixed engine, a resumed one to a decode or mixed engine. An
+/// engine with the wrong role is used if there is no other.
 pub(crate) fn for_prompt(shared: &Shared, prompt: &Prompt, tried: &[Name]) -> Vec<SelectedTarget> {
     let (stage, fallback_stage) = match prompt.resume_tokens {
         0 => (Stage::Prefill, Stage::Decode),
@@ -24,8 +24,8 @@
     decisions.targets.choose(&criteria, decisions.now(), decisions.random())
 }
 
-/// The one target for a prompt that was running when a target crashed, whichever entry its caller
-/// sends it to: there it runs alone, and takes down nothing else.
+/// Returns the one target for a prompt that was running when a target crashed. All entries choose
+/// the same one, so that the prompt runs alone and can crash no other target.
 pub(crate) fn for_suspect(
     shared: &Shared,
     prompt: &Prompt,
@@ -39,7 +39,7 @@
     targets.rendezvous(&prompt.model, &query, fingerprint, &crashed).into_iter().collect()
 }
 
-/// The best targets for a call that may be repeated, best first, at most two.
+/// Returns up to two targets for a call that may be repeated, best first.
 pub(crate) fn for_call(shared: &Shared, service: &str, tried: &[Name]) -> Vec<SelectedTarget> {
     let domain = policy::hash(&shared.domain);
     let query = Query { serves: service_key(service), domain, ..Query::default() };
@@ -48,11 +48,12 @@
     decisions.targets.choose(&criteria, decisions.now(), decisions.random())
 }
 
-/// The home of a key: the one target that runs the call, by rendezvous hash over the targets that
-/// the configuration has in service, whether they are alive or not.
+/// Returns the target that runs the call with this key, by rendezvous hashing over all active
+/// targets of the service, whether available or not.
 ///
-/// Were it over the live ones, two entries that see different ones alive would send a call to two
-/// targets. The log would still let only one run it, but the caller would be refused for nothing.
+/// Hashing over available targets would let two entries with different views of availability send a
+/// call to two targets. The log would still let only one run it, but the other caller would be
+/// refused without need.
 pub(crate) fn target_for_key(
     shared: &Shared,
     service: &str,
@@ -77,7 +78,8 @@
     }
 }
 
-/// The name under which an engine serves a version of a model with an adapter; either may be empty.
+/// Returns the name under which an engine serves a version of a model with an adapter; version and
+/// adapter may be empty.
 pub(crate) fn served_name(model: &str, version: &str, adapter: &str) -> String {
     let mut name = model.to_owned();
     if !version.is_empty() {
--- a/crates/entry/src/routes.rs
+++ b/crates/entry/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes for callers.
+//! HTTP routes for callers.
 
 mod admission;
 mod completions;
@@ -17,7 +17,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router};
 use std::sync::Arc;
 
-/// All routes for callers.
+/// Returns the router with all routes for callers.
 pub(crate) fn router(shared: Arc<Shared>) -> Router {
     use completions::Completions;
     use fallible::Fallible;
@@ -38,7 +38,7 @@
         .push(at("{**rest}").goal(NotFound))
 }
 
-/// Answers all other paths.
+/// Responds to requests for any other path.
 struct NotFound;
 
 #[async_trait]
--- a/crates/entry/src/routes/admission.rs
+++ b/crates/entry/src/routes/admission.rs
@@ -1,5 +1,5 @@
-//! What happens to every request before its own work: checked headers, its caller, leave to be
-//! held here, and its body, within limits of size and time.
+//! Checks that apply to all requests before they are handled: headers, authentication, the entry's
+//! capacity, and the size and time limits of the body.
 
 use super::trace;
 use crate::capacity::CapacityGuard;
@@ -14,28 +14,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long a body may take to arrive.
+/// Maximum time for a body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Bytes set aside for a body whose size is not announced; it may not be larger.
+/// Bytes reserved for a body without a declared length, which is also its maximum.
 const UNSIZED_BODY_BYTES: usize = 1024 * 1024;
 
-/// The longest deadline that a caller may ask for.
+/// Maximum deadline that a caller may request.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// A request that was let in.
+/// A request that was admitted.
 pub(super) struct Admitted {
     /// The request, without its work.
     pub(super) request: wire::Request,
     pub(super) caller: Arc<ConfiguredCaller>,
     pub(super) body: Bytes,
-    /// How long the caller waits.
+    /// Time from the request's arrival to its deadline.
     pub(super) time_limit: Duration,
-    /// Held until the answer is complete.
+    /// Held until the response is complete.
     pub(super) guard: CapacityGuard,
 }
 
-/// Lets a request in with a body of up to `most` bytes, or says why not.
+/// Admits a request with a body of up to `max_bytes`, or returns the problem.
 pub(super) async fn admit(
     shared: &Shared,
     http: &mut Request,
@@ -67,7 +67,7 @@
     Ok(Admitted { request, caller, body, time_limit, guard })
 }
 
-/// Finds the caller by the bearer token.
+/// Returns the caller that the bearer token belongs to.
 pub(super) fn authenticate(
     shared: &Shared,
     headers: &HeaderMap,
@@ -91,7 +91,7 @@
     (millis > 0 && requested <= MAX_DEADLINE).then_some(requested)
 }
 
-/// Bytes to set aside for the body.
+/// Returns the number of bytes to reserve for the body.
 fn declared_body_size(headers: &HeaderMap, max_bytes: usize) -> Result<usize, Problem> {
     let Some(length) = headers.get(header::CONTENT_LENGTH) else {
         return Ok(max_bytes.min(UNSIZED_BODY_BYTES));
@@ -105,7 +105,8 @@
 }
 
 async fn read_body(http: &mut Request, max_bytes: usize) -> Result<Bytes, Problem> {
-    // A caller that sends its body a byte at a time would hold memory for hours.
+    // Without a timeout, a caller that sends its body one byte at a time would hold memory for
+    // hours.
     let body = tokio::time::timeout(BODY_TIMEOUT, http.payload_with_max_size(max_bytes)).await;
     let timed_out = || Problem::not_run(Reason::BodyTimeout, "the body took too long to arrive");
     match body.map_err(|_| timed_out())? {
@@ -119,14 +120,15 @@
     Problem::not_run(Reason::BodyTooLarge, format!("the body may have {most} bytes"))
 }
 
-/// A hash of caller, path and content: the same each time the caller sends the same request.
+/// Returns a hash of caller, path and body, which is the same for each repetition of a request.
 fn fingerprint(caller: &ConfiguredCaller, path: &str, body: &[u8]) -> u64 {
     use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
     let seed = xxh3_64_with_seed(path.as_bytes(), xxh3_64(caller.name.as_bytes()));
     xxh3_64_with_seed(body, seed)
 }
 
-/// Whether a text has the form of the W3C header: version, trace, parent and flags.
+/// Whether a text has the form of the W3C `traceparent` header: version, trace id, parent id,
+/// flags.
 fn is_traceparent(text: &str) -> bool {
     let parts: Vec<_> = text.split('-').collect();
     let hex = |part: &str, length: usize| {
--- a/crates/entry/src/routes/completions.rs
+++ b/crates/entry/src/routes/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions` and `POST /v1/completions`, in OpenAI's shapes.
+//! `POST /v1/chat/completions` and `POST /v1/completions`, in OpenAI's format.
 
 use super::admission::{self, Admitted};
 use super::fallible::Serve;
@@ -22,28 +22,30 @@
 use tokio::time::Instant;
 use wire::{Attach, Prompt};
 
-/// Generates answers.
+/// Handles completion requests.
 pub(super) struct Completions {
     pub(super) shared: Arc<Shared>,
     pub(super) endpoint: Endpoint,
 }
 
-/// The largest body accepted, in bytes.
+/// Maximum size of a body, in bytes.
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Tokens generated if the caller does not say.
+/// Maximum output tokens if the caller sets no limit.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// Bytes of text that count as one token, for estimates.
+/// Bytes of text per token, for estimates.
 const TOKEN_BYTES: usize = 4;
 
-/// Bytes at the beginning of a prompt that tell which prefix cache may have it.
+/// Bytes at the start of a prompt that identify its prefix, so that it is sent to an engine with
+/// that prefix in its cache.
 const PREFIX_BYTES: usize = 256;
 
-/// How long a caller that goes on with an answer waits for a connection to the agent.
+/// Time that a caller that resumes a response waits for a connection to the agent.
 const ATTACH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What we read of a body; the rest is handed to the engine as sampling parameters.
+/// The fields of a body that the entry reads; the others are passed to the engine as sampling
+/// parameters.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: String,
@@ -145,9 +147,9 @@
 }
 
 impl Completions {
-    /// Goes on with an answer of this caller's that another entry began.
+    /// Resumes a response of this caller that another entry began.
     ///
-    /// An answer that is not there and one of another caller's look the same to whoever asks.
+    /// An unknown response and one of another caller are indistinguishable to the caller.
     async fn attach(&self, relay: Relay, event: EventId, caller: String) -> Result<Relay, Problem> {
         let unknown = || Problem::not_run(Reason::UnknownAnswer, "you have no answer of this id");
         let view = self.shared.view.borrow().clone();
@@ -201,13 +203,13 @@
     }
 }
 
-/// A hash of a prompt's beginning.
+/// Returns a hash of a prompt's prefix.
 fn prefix_hash(text: &str) -> u64 {
     let bytes = text.as_bytes();
     xxhash_rust::xxh3::xxh3_64(&bytes[..bytes.len().min(PREFIX_BYTES)])
 }
 
-/// The id of the last event that a caller has of an answer that it wants to go on with.
+/// Returns the id of the last event that the caller received of the response to be resumed.
 fn last_event(headers: &HeaderMap) -> Result<Option<EventId>, Problem> {
     let header = headers.get("last-event-id").or_else(|| headers.get("x-last-event-id"));
     let Some(header) = header else { return Ok(None) };
--- a/crates/entry/src/routes/fallible.rs
+++ b/crates/entry/src/routes/fallible.rs
@@ -1,4 +1,4 @@
-//! Handlers of requests that may end with a problem: it is counted and told in one place.
+//! Handles requests that may end with a problem, which is counted and rendered in one place.
 
 use crate::daemon::Shared;
 use crate::problem::Problem;
@@ -8,7 +8,7 @@
 /// Serves requests of one kind.
 #[async_trait]
 pub(super) trait Serve: Send + Sync + 'static {
-    /// Writes the answer into `response`.
+    /// Writes the response.
     async fn serve(
         &self,
         http: &mut Request,
@@ -16,14 +16,14 @@
         response: &mut Response,
     ) -> Result<(), Problem>;
 
-    /// Writes a problem in the shape that callers of this kind know.
+    /// Renders a problem in the format of these routes.
     fn render(&self, problem: Problem, response: &mut Response);
 
-    /// What all requests of the entry share.
+    /// Returns the state shared by all requests of the entry.
     fn shared(&self) -> &Shared;
 }
 
-/// Handles requests, or counts and tells the problem.
+/// Handles requests; counts and renders the problem if one fails.
 pub(super) struct Fallible<S>(pub(super) S);
 
 #[async_trait]
--- a/crates/entry/src/routes/health.rs
+++ b/crates/entry/src/routes/health.rs
@@ -6,7 +6,7 @@
 use salvo::{Depot, FlowCtrl, Handler, Request, Response};
 use std::sync::Arc;
 
-/// Answers while the process runs.
+/// Responds with success while the process runs.
 pub(super) struct Healthz;
 
 #[async_trait]
@@ -22,8 +22,8 @@
     }
 }
 
-/// Answers with success once the configuration is known and until the process is asked to stop,
-/// so that the balancer sends callers.
+/// Responds with success once the configuration is known and until the process is asked to stop, so
+/// that load balancers send requests only in between.
 pub(super) struct Readyz {
     pub(super) shared: Arc<Shared>,
 }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Answers with the metrics in Prometheus' text form.
+/// Responds with the metrics in Prometheus' text format.
 pub(super) struct Metrics {
     pub(super) shared: Arc<Shared>,
 }
--- a/crates/entry/src/routes/models.rs
+++ b/crates/entry/src/routes/models.rs
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::sync::Arc;
 
-/// Lists the models.
+/// Lists the configured models.
 pub(super) struct Models {
     pub(super) shared: Arc<Shared>,
 }
--- a/crates/entry/src/routes/openai.rs
+++ b/crates/entry/src/routes/openai.rs
@@ -1,9 +1,9 @@
-//! OpenAI's shapes of an answer, whole and in chunks.
+//! OpenAI's response formats, as one body and as chunks of a stream.
 
 use serde_json::{Value, json};
 use wire::{End, Finish};
 
-/// Which of the two routes it is.
+/// The endpoint that a request was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Endpoint {
     /// `POST /v1/chat/completions`.
@@ -12,7 +12,7 @@
     Text,
 }
 
-/// The form of one answer.
+/// The format of one response.
 #[derive(Clone)]
 pub(super) struct ResponseFormat {
     pub(super) id: String,
@@ -22,7 +22,7 @@
 }
 
 impl ResponseFormat {
-    /// The server-sent event of a piece of text.
+    /// Encodes a piece of text as a server-sent event.
     pub(super) fn chunk(&self, id: &str, text: &str) -> String {
         let choice = match self.endpoint {
             Endpoint::Chat => {
@@ -33,7 +33,7 @@
         format!("id: {id}\ndata: {}\n\n", self.envelope(".chunk", vec![choice]))
     }
 
-    /// The server-sent events that end a stream.
+    /// Encodes the server-sent events that end a stream.
     pub(super) fn last(&self, end: &End) -> String {
         let reason = finish(end);
         let choice = match self.endpoint {
@@ -49,7 +49,7 @@
         events + "data: [DONE]\n\n"
     }
 
-    /// The body of a whole answer.
+    /// Encodes a response as one body.
     pub(super) fn complete(&self, text: &str, end: &End) -> Value {
         let reason = finish(end);
         let choice = match self.endpoint {
--- a/crates/entry/src/routes/services.rs
+++ b/crates/entry/src/routes/services.rs
@@ -20,18 +20,18 @@
 use tokio::time::Instant;
 use wire::{Call, EventKind};
 
-/// Calls plain services.
+/// Handles calls of plain services.
 pub(super) struct Services {
     pub(super) shared: Arc<Shared>,
 }
 
-/// The largest body accepted, in bytes.
+/// Maximum size of a body, in bytes.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// The longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Tells a caller that it receives the recorded answer of an earlier call.
+/// Response header that marks the recorded response of an earlier call.
 const REPLAYED: &str = "idempotency-replayed";
 
 #[async_trait]
@@ -76,8 +76,8 @@
         })?;
         let key = idempotency_key(http)?;
         let repeatable = definition.repeatable && key.is_none();
-        // A call without a key that may not be repeated gets one that nobody else can have, so
-        // that it runs at most once by the same rule as those with a key.
+        // A call that may not be repeated and has no key gets a unique one, so that the same rule
+        // as for calls with a key limits it to one execution.
         let generated_key = || if repeatable { String::new() } else { format!("implicit-{id}") };
         let path = http.uri().path();
         let rest = path.strip_prefix("/services/").and_then(|path| path.split_once('/'));
@@ -95,7 +95,7 @@
     }
 }
 
-/// The caller's idempotency key.
+/// Returns the caller's idempotency key.
 fn idempotency_key(http: &Request) -> Result<Option<String>, Problem> {
     let Some(value) = http.headers().get("idempotency-key") else { return Ok(None) };
     let key = value.to_str().unwrap_or_default();
@@ -103,7 +103,7 @@
         let detail = format!("idempotency-key has 1 to {MAX_KEY_BYTES} visible ASCII characters");
         return Err(Problem::not_run(Reason::BadHeader, detail));
     }
-    // Keys that callers choose and those that are made here can't meet.
+    // The prefix separates the keys of callers from generated ones.
     Ok(Some(format!("caller-{key}")))
 }
 
@@ -132,7 +132,8 @@
     }
 }
 
-/// The body's pieces; a lost attempt breaks the connection, so that the caller sees it.
+/// Streams the rest of the body. If the attempt is lost, the connection is aborted, so that the
+/// caller detects the truncation.
 fn body_stream(
     attempt: Attempt,
     guard: CapacityGuard,
--- a/crates/entry/src/routes/sse.rs
+++ b/crates/entry/src/routes/sse.rs
@@ -1,9 +1,8 @@
-//! Streams an answer to a caller, at the caller's own pace and for as long as it reads.
+//! Streams a response to its caller.
 //!
-//! What could go wrong: a caller vanishes, or reads a byte a minute, and its engine slot is lost
-//! to others for as long. A task of its own therefore drives the answer: it ends at once when the
-//! connection is gone and after [`READ_TIMEOUT`] when nothing is taken, and that cancels the
-//! engine's work.
+//! A caller that disconnects, or reads very slowly, must not occupy an engine slot. Each response
+//! is therefore driven by its own task, which ends as soon as the connection is closed, or after
+//! [`READ_TIMEOUT`] without a read; that cancels the engine's work.
 
 use super::openai::ResponseFormat;
 use crate::capacity::CapacityGuard;
@@ -19,13 +18,13 @@
 use tokio::time::Instant;
 use wire::End;
 
-/// How long a caller may take nothing of what waits for it.
+/// Time without a read by the caller after which its response is abandoned.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Events that wait for a slow caller in the entry; more wait at the agent.
+/// Events buffered in the entry for a slow caller; further ones are buffered by the agent.
 const EVENT_BUFFER: usize = 32;
 
-/// The event id that a caller sends back to go on: `target/request/token`.
+/// The event id that a caller sends to resume a response: `target/request/token`.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct EventId {
     pub(super) target: String,
@@ -34,7 +33,7 @@
 }
 
 impl EventId {
-    /// Reads an event id.
+    /// Parses an event id.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let mut chunks = text.splitn(3, '/');
         let target = chunks.next()?.to_owned();
@@ -44,7 +43,7 @@
     }
 }
 
-/// What a stream needs until its end.
+/// A response that is streamed to its caller.
 pub(super) struct ResponseStream {
     pub(super) shared: Arc<Shared>,
     pub(super) format: ResponseFormat,
@@ -54,14 +53,14 @@
     pub(super) started_at: Instant,
 }
 
-/// A part of the stream; only the last kind ends it properly.
+/// A part of the stream. Only `Last` ends it properly.
 enum Chunk {
     Events(String),
     Last(String),
 }
 
 impl ResponseStream {
-    /// The response's body, of which `first` is the first piece.
+    /// Returns the response body, which begins with the piece `first`.
     pub(super) fn start(self, first: Piece) -> impl Stream<Item = io::Result<Bytes>> + Send {
         let (sender, chunks) = mpsc::channel(EVENT_BUFFER);
         tokio::spawn(self.drive(first, sender));
@@ -70,7 +69,8 @@
             match chunks.recv().await {
                 Some(Chunk::Events(text)) => Some((Ok(Bytes::from(text)), Some(chunks))),
                 Some(Chunk::Last(text)) => Some((Ok(Bytes::from(text)), None)),
-                // The connection is broken off, so that nobody takes the part for the whole.
+                // The connection is aborted, so that the caller does not take the part for a
+                // complete response.
                 None => Some((Err(io::Error::other("the answer was given up")), None)),
             }
         })
@@ -115,7 +115,7 @@
     }
 }
 
-/// Tokens that an answer used, prompt and output.
+/// Returns the number of tokens used, prompt and output.
 pub(super) fn total_tokens(end: &End) -> u64 {
     u64::from(end.prompt_tokens) + u64::from(end.output_tokens)
 }
--- a/crates/entry/src/routes/trace.rs
+++ b/crates/entry/src/routes/trace.rs
@@ -1,4 +1,4 @@
-//! Gives each request its id, and each answer the id, a log line and its place in the metrics.
+//! Assigns an id to each request, returns it with the response and logs the response.
 
 use crate::daemon::Shared;
 use async_trait::async_trait;
@@ -8,19 +8,19 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// The header that carries a request's id.
+/// Header that carries the request id.
 const REQUEST_ID: &str = "x-request-id";
 
-/// The wrapper of all routes.
+/// Middleware of all routes.
 pub(super) struct Trace {
     pub(super) shared: Arc<Shared>,
 }
 
-/// A request's id, which its handler finds in the depot.
+/// A request's id, stored in the depot for its handler.
 #[derive(Clone)]
 pub(super) struct RequestId(pub(super) CompactString);
 
-/// The id that was given to a request.
+/// Returns the id assigned to a request.
 pub(super) fn request_id(depot: &Depot) -> CompactString {
     depot.get_typed::<RequestId>().map(|id| id.0.clone()).unwrap_or_default()
 }
