--- a/crates/entry/src/agent_queries.rs
+++ b/crates/entry/src/agent_queries.rs
@@ -1,4 +1,4 @@
-//! Questions to agents outside any attempt.
+//! Queries to agents that belong to no attempt.
 
 use crate::daemon::Shared;
 use crate::explain::AgentReport;
@@ -7,11 +7,12 @@
 use std::time::Duration;
 use wire::AskKind;
 
-/// How long a question to one agent may take.
+/// Maximum time for a query to one agent.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Shared {
-    /// What the agents of `targets` say of a request; those that do not answer are left out.
+    /// Returns the reports of the agents of `targets` on a request, without those that do not
+    /// respond.
     pub(crate) async fn collect_reports(
         &self,
         request: &str,
--- a/crates/entry/src/auth.rs
+++ b/crates/entry/src/auth.rs
@@ -1,13 +1,13 @@
-//! Who a request comes from: a bearer token matched to the digest in a Caller resource.
+//! Authenticates requests by bearer token, using the digests in Caller resources.
 
 use crate::view::{ConfigView, ConfiguredCaller};
 use sha2::{Digest, Sha256};
 use std::sync::Arc;
 use subtle::ConstantTimeEq;
 
-/// Finds the caller whose token an `Authorization` header carries.
+/// Returns the caller whose token is in an `Authorization` header.
 ///
-/// A request without the header is the caller's that has no digest, if there is one.
+/// A request without the header belongs to the caller without a digest, if there is one.
 pub(crate) fn caller(
     view: &ConfigView,
     authorization: Option<&[u8]>,
@@ -16,8 +16,8 @@
     let token = header.strip_prefix(b"Bearer ")?;
     let digest: crate::view::Digest = Sha256::digest(token).into();
     let caller = view.caller(Some(&digest))?;
-    // The table is found by a hash of the digest; the digest itself is compared in constant time,
-    // so that response times tell nothing of how much of it was right.
+    // The lookup uses a hash of the digest. The digest itself is compared in constant time, so that
+    // response times do not reveal how much of it matches.
     let known = caller.digest.unwrap_or_default();
     bool::from(known.ct_eq(&digest)).then(|| caller.clone())
 }
--- a/crates/entry/src/bootstrap.rs
+++ b/crates/entry/src/bootstrap.rs
@@ -1,8 +1,8 @@
-//! Gets the folded state from agents while the log does not give it.
+//! Fetches state snapshots from agents while the log is unavailable.
 //!
-//! What could go wrong: an entry is replaced while the log is out, and has nothing to serve with
-//! for hours. Agents hold the same folded state; the one that goes furthest is taken, and what is
-//! taken never goes backwards, since followers refuse an older state than their own.
+//! An entry that is replaced during a log outage would otherwise have no configuration, possibly
+//! for hours. Agents hold the same state; the snapshot with the highest offset is applied. State
+//! never goes backwards, because followers refuse a snapshot that is older than their own state.
 
 use crate::daemon::Shared;
 use bytes::Bytes;
@@ -13,23 +13,23 @@
 use tokio::sync::{mpsc, watch};
 use wire::AskKind;
 
-/// How long to wait for one agent.
+/// Maximum time to wait for one agent.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often agents are asked while the log gives nothing.
+/// Interval between rounds of queries while the state is not current.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state counts as current if the log showed it to be complete this recently; a read waits up
-/// to two seconds for news.
+/// Maximum time since the log last showed the state to be complete for it to count as current. A
+/// read waits up to two seconds for new records.
 const MAX_STATE_AGE: Duration = Duration::from_secs(10);
 
-/// How many agents are asked at a time.
-const MAX_AGENTS: usize = 4;
+/// Number of agents queried per round.
+const AGENTS_PER_ROUND: usize = 4;
 
-/// What takes the states of agents in.
+/// Receives snapshots of agents and passes them to the followers.
 pub(crate) struct Bootstrap {
     pub(crate) shared: Arc<Shared>,
-    /// Addresses from the settings, for an entry that knows nothing yet.
+    /// Addresses of agents from the settings, for an entry without a configuration.
     pub(crate) peers: Vec<CompactString>,
     pub(crate) health: watch::Receiver<Health>,
     pub(crate) config: mpsc::Sender<Config>,
@@ -37,7 +37,7 @@
 }
 
 impl Bootstrap {
-    /// Asks agents until the task is dropped, as long as the log does not show the state.
+    /// Queries agents while the state is not current, until the task is dropped.
     pub(crate) async fn run(self) {
         let mut offset = 0;
         loop {
@@ -45,13 +45,13 @@
                 let agents = self.select_agents(offset);
                 let requests = agents.iter().map(|address| self.fetch_state(address));
                 futures_util::future::join_all(requests).await;
-                offset += MAX_AGENTS;
+                offset += AGENTS_PER_ROUND;
             }
             tokio::time::sleep(INTERVAL).await;
         }
     }
 
-    /// Some of the agents known, other ones each turn.
+    /// Returns the agents to query in this round; each round continues where the last one ended.
     fn select_agents(&self, offset: usize) -> Vec<CompactString> {
         let view = self.shared.view.borrow().clone();
         let mut all: Vec<_> = view.targets().map(|target| target.spec.agent.clone()).collect();
@@ -59,7 +59,11 @@
         all.sort();
         all.dedup();
         let count = all.len();
-        all.into_iter().cycle().skip(offset % count.max(1)).take(MAX_AGENTS.min(count)).collect()
+        all.into_iter()
+            .cycle()
+            .skip(offset % count.max(1))
+            .take(AGENTS_PER_ROUND.min(count))
+            .collect()
     }
 
     async fn fetch_state(&self, address: &CompactString) {
@@ -81,7 +85,7 @@
             log::warn!(peer = address, error:% = error; "state-unreadable");
         };
         match snapshots.open::<Config>(plat::CONFIG_STREAM) {
-            // A full queue holds states that are as good.
+            // If the queue is full, it holds snapshots that serve as well.
             Some(Ok(config)) => drop(self.config.try_send(config)),
             Some(Err(error)) => unreadable(error),
             None => {}
--- a/crates/entry/src/capacity.rs
+++ b/crates/entry/src/capacity.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// Maximum open requests. The expected 12 requests per second (4,700 over 390 entries) stay far
-/// below it even if each takes a minute; at 16 KB per request it is 64 MB.
+/// below it even if each takes a minute; at 16 KB per request it takes at most 64 MB.
 const MAX_OPEN_REQUESTS: usize = 4_096;
 
 /// Maximum body bytes held at a time, a quarter of an entry's 256 MB.
--- a/crates/entry/src/context.rs
+++ b/crates/entry/src/context.rs
@@ -1,4 +1,4 @@
-//! What an entry sees of the world; tests put in another.
+//! The dependencies of an entry, which tests replace.
 
 use conf::settings;
 use plat::{Log, VmList};
@@ -6,7 +6,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::Dialler;
 
-/// What an entry sees of the world.
+/// The dependencies of an entry.
 pub struct Context {
     /// The settings.
     pub settings: settings::Entry,
@@ -14,11 +14,11 @@
     pub log: Arc<dyn Log>,
     /// The platform's list of VMs.
     pub vms: Arc<dyn VmList>,
-    /// How agents are reached.
+    /// Connects to agents.
     pub dialler: Arc<dyn Dialler>,
-    /// Decides all random numbers of the entry; the same seed gives the same session. A real
-    /// process takes a fresh one at each start, since request ids are drawn from it.
+    /// Seed of all random numbers of the entry; the same seed reproduces a session. A real process
+    /// uses a new one at each start, since request ids are derived from it.
     pub seed: u64,
-    /// Cancelled when the process is asked to stop gracefully.
+    /// Cancelled to request a graceful stop.
     pub stop: CancellationToken,
 }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The entry's process: its tasks and how it stops.
+//! The entry's tasks, their start and their graceful stop.
 
 use crate::bootstrap::Bootstrap;
 use crate::capacity::Capacity;
@@ -26,14 +26,14 @@
 use tokio_util::sync::CancellationToken;
 use wire::Key;
 
-/// An entry without a socket for callers; tests hand requests to its router.
+/// An entry without a listening socket for callers; tests pass requests to its router.
 pub struct Entry {
     shared: Arc<Shared>,
     config: watch::Receiver<Arc<Config>>,
     _tasks: JoinSet<()>,
 }
 
-/// The entry of one VM, bound to its address but not yet running.
+/// An entry whose socket is bound but that does not serve callers yet.
 pub struct Daemon {
     entry: Arc<Entry>,
     acceptor: TcpAcceptor,
@@ -42,7 +42,7 @@
     stop: CancellationToken,
 }
 
-/// What all requests of an entry share.
+/// State shared by all requests of an entry.
 pub(crate) struct Shared {
     pub(crate) domain: CompactString,
     pub(crate) view: watch::Receiver<Arc<ConfigView>>,
@@ -59,7 +59,7 @@
 }
 
 impl Entry {
-    /// Starts following the log and keeps connections to agents.
+    /// Starts to follow the log and to connect to agents.
     pub fn start(context: Context) -> Self {
         let Context { settings, log, vms, dialler, seed, stop } = context;
         let follower = Follower::<Config>::new(log.clone(), plat::CONFIG_STREAM.into());
@@ -103,31 +103,31 @@
         Self { shared, config, _tasks: tasks }
     }
 
-    /// The routes for callers.
+    /// Returns the routes for callers.
     pub fn router(&self) -> Router {
         routes::router(self.shared.clone())
     }
 
-    /// Where a recent request was sent and why, if this entry took it, with what the agents of
-    /// its targets say of it.
+    /// Returns which targets a recent request was sent to and why, if this entry received it, with
+    /// the reports of the targets' agents.
     pub async fn explain(&self, request: &str) -> Option<Explanation> {
         let mut explanation = self.shared.explanations.find(request)?;
         explanation.agents = self.shared.collect_reports(request, &explanation.targets).await;
         Some(explanation)
     }
 
-    /// The configuration as far as this entry has applied it.
+    /// Returns the configuration as applied by this entry.
     pub fn config(&self) -> watch::Receiver<Arc<Config>> {
         self.config.clone()
     }
 
-    /// The claims, orders and suspects as far as this entry has applied them.
+    /// Returns the claims, orders and suspects as applied by this entry.
     pub fn system(&self) -> watch::Receiver<Arc<System>> {
         self.shared.system.clone()
     }
 
-    /// What the other processes last said of themselves: the agents of all configured targets,
-    /// `None` for those that were not heard, and the entries heard of lately.
+    /// Returns the last reported status of the agents of all configured targets, `None` without a
+    /// report, and of the entries that were recently seen.
     pub fn processes(&self) -> (Vec<(Name, Option<ProcessStatus>)>, Vec<ProcessStatus>) {
         let context = self.shared.peers.context();
         let view = self.shared.view.borrow().clone();
@@ -139,22 +139,22 @@
         (agents.collect(), entries.filter(|entry| entry.name != context.name).collect())
     }
 
-    /// Connects to the agents outside the entry's subset, so that they are heard too; an agent
-    /// that is connected already costs nothing.
+    /// Connects to the agents outside the entry's subset, so that they report their status too. An
+    /// agent that is already connected causes no traffic.
     pub async fn connect_all_agents(&self, timeout: Duration) {
         let view = self.shared.view.borrow().clone();
         let connections = view.targets().map(|target| target.peer.session(timeout));
         futures_util::future::join_all(connections).await;
     }
 
-    /// The metrics in the text form that Prometheus reads.
+    /// Returns the metrics in Prometheus' text format.
     pub fn metrics(&self) -> String {
         self.shared.metrics_text()
     }
 }
 
 impl Shared {
-    /// The metrics in the text form that Prometheus reads.
+    /// Returns the metrics in Prometheus' text format.
     pub(crate) fn metrics_text(&self) -> String {
         let health = self.health.borrow().clone();
         self.metrics.log_lag.set(i64::try_from(health.lag()).unwrap_or(i64::MAX));
@@ -165,28 +165,28 @@
     }
 }
 
-/// Connections from callers at a time, each of a few KB.
+/// Maximum number of connections from callers, each of a few KB.
 const MAX_CONNECTIONS: usize = 8_192;
 
-/// How long a caller may take to send the headers of a request.
+/// Maximum time for a caller to send the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may pause in the middle of a body.
+/// Maximum pause of a caller in the middle of a body.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long a caller may take nothing of a response; its connection is closed then, which also
-/// ends what the response still held.
+/// Time without a read by the caller after which its connection is closed, which also releases the
+/// rest of the response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The largest headers of a request, in bytes, together.
+/// Maximum total size of a request's headers, in bytes.
 const MAX_HEADER_BYTES: usize = 64 * 1024;
 
-/// How long the entry is not ready before it takes no more connections, so that the balancer has
-/// noticed when it goes.
+/// Time between reporting not ready and refusing connections, in which load balancers stop sending
+/// requests.
 const UNREADY_PERIOD: Duration = Duration::from_secs(1);
 
 impl Daemon {
-    /// Binds the address for callers and starts following the log.
+    /// Binds the address for callers and starts to follow the log.
     pub async fn bind(context: Context) -> Result<Self> {
         let address = context.settings.callers.clone();
         let listen = |source| Error::Listen { address: address.clone(), source };
@@ -198,17 +198,18 @@
         Ok(Self { entry, acceptor, address: bound, drain, stop })
     }
 
-    /// The entry itself, for the administration API.
+    /// Returns the entry, for the administration API.
     pub fn entry(&self) -> &Arc<Entry> {
         &self.entry
     }
 
-    /// The address for callers, really bound.
+    /// Returns the bound address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs until the context's token is cancelled and the requests in flight are answered.
+    /// Runs until the context's token is cancelled and the requests in progress have ended or the
+    /// drain time has passed.
     pub async fn run(self) -> Result<()> {
         let Self { entry, acceptor, drain, stop, .. } = self;
         let fuse = FuseConfig::default()
--- a/crates/entry/src/duplicates.rs
+++ b/crates/entry/src/duplicates.rs
@@ -1,32 +1,32 @@
-//! Copies of one request that are under way at the same time.
+//! Holds back identical requests until the first one has proven harmless.
 //!
-//! What could go wrong: a request crashes each engine that runs it, and its caller sends a dozen
-//! copies at once. By the time that the first crash stands in the log, each copy has taken down an
-//! engine of its own. So while the first copy has brought no token yet, the others wait here: once
-//! it has, they all go on, and if it fails, the next one is tried with what was learnt from it.
+//! If a request crashes each engine that runs it and its caller sends a dozen copies at once, each
+//! copy can crash an engine before the first crash is in the log. Until the first copy, the canary,
+//! has produced a token, the others therefore wait. Then they all start; if the canary fails, the
+//! next copy becomes the canary and is placed with the crash taken into account.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::Notify;
 
-/// The requests of one entry that are under way, by fingerprint.
+/// The requests in progress at one entry, by fingerprint.
 #[derive(Default)]
 pub(crate) struct Duplicates {
     in_flight: Mutex<HashMap<u64, InFlight>>,
 }
 
-/// All copies of one request that have started.
+/// The started copies of one request.
 #[derive(Default)]
 struct InFlight {
     started: usize,
-    /// Whether a copy has started that has neither brought a token nor failed.
+    /// Whether the canary has neither produced a token nor failed yet.
     canary_running: bool,
-    /// Whether a copy has brought a token.
+    /// Whether a copy has produced a token.
     cleared: bool,
     changed: Arc<Notify>,
 }
 
-/// One copy that has started; dropping it ends it.
+/// A started copy; dropping it ends it.
 pub(crate) struct DuplicateGuard {
     duplicates: Arc<Duplicates>,
     fingerprint: u64,
@@ -34,7 +34,7 @@
 }
 
 impl Duplicates {
-    /// Waits until a copy with this fingerprint may start.
+    /// Waits until a request with this fingerprint may start.
     pub(crate) async fn start(self: &Arc<Self>, fingerprint: u64) -> DuplicateGuard {
         loop {
             let changed = match self.try_start(fingerprint) {
@@ -43,7 +43,7 @@
             };
             let mut notified = std::pin::pin!(changed.notified());
             notified.as_mut().enable();
-            // What happened before the notification was enabled is seen by trying once more.
+            // Trying again detects a change that occurred before the notification was enabled.
             if let Ok(guard) = self.try_start(fingerprint) {
                 return guard;
             }
@@ -69,7 +69,7 @@
 }
 
 impl DuplicateGuard {
-    /// Notes that the copy has brought a token, so that the others go on.
+    /// Records that this copy has produced a token, and lets the others start.
     pub(crate) fn clear(&mut self) {
         if std::mem::take(&mut self.is_canary)
             && let Some(group) = self.duplicates.lock().get_mut(&self.fingerprint)
--- a/crates/entry/src/explain.rs
+++ b/crates/entry/src/explain.rs
@@ -1,4 +1,4 @@
-//! Where each recent request was sent and why, for `lapismast explain`.
+//! Records which targets each recent request was sent to and why, for `lapismast explain`.
 
 use compact_str::{CompactString, format_compact};
 use serde::Serialize;
@@ -6,49 +6,49 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::Instant;
 
-/// How many requests are remembered: some seconds of an entry's share of the peak, and about
-/// 1 KB each, so a few megabytes at most.
+/// Maximum number of recorded requests: some seconds of an entry's share of the peak. At about 1 KB
+/// each they take a few megabytes.
 const MAX_REQUESTS: usize = 4_096;
 
-/// How many steps of one request are remembered.
+/// Maximum number of recorded steps per request.
 const MAX_STEPS: usize = 64;
 
-/// What the entry knows of one request.
+/// The history of one request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Explanation {
     /// The request's id.
     pub request: CompactString,
     /// The caller.
     pub caller: CompactString,
-    /// What it asked for: a model or a service.
+    /// The requested model or service.
     pub asked: CompactString,
-    /// What was done, in order.
+    /// The steps in order.
     pub steps: Vec<Step>,
-    /// The targets to which it was sent, in order.
+    /// The targets that it was sent to, in order.
     pub targets: Vec<CompactString>,
-    /// What the targets' agents say of it.
+    /// The reports of the targets' agents.
     pub agents: Vec<AgentReport>,
 }
 
-/// What one agent says of a request.
+/// An agent's report on a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AgentReport {
-    /// The target beside which it stands.
+    /// The agent's target.
     pub target: CompactString,
-    /// Its words, one line an event.
+    /// The report, one event per line.
     pub text: String,
 }
 
-/// One thing that was done with a request.
+/// One step in the processing of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Step {
-    /// Milliseconds since the request was taken.
+    /// Milliseconds since the request arrived.
     pub at_ms: u64,
     /// What was done, and why.
     pub text: CompactString,
 }
 
-/// The account of one request, to which its handler adds steps.
+/// Records the steps of one request.
 #[derive(Clone)]
 pub(crate) struct ExplanationRecorder {
     started_at: Instant,
@@ -56,7 +56,7 @@
 }
 
 impl ExplanationRecorder {
-    /// Notes that the request is sent to a target.
+    /// Records that the request is sent to a target.
     pub(crate) fn record_sent(&self, target: &str) {
         self.record(format_compact!("sent to {target}"));
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -66,7 +66,7 @@
     }
 }
 
-/// The accounts of recent requests.
+/// The explanations of recent requests.
 #[derive(Default)]
 pub(crate) struct Explanations {
     recent: Mutex<Recent>,
@@ -79,7 +79,7 @@
 }
 
 impl ExplanationRecorder {
-    /// Adds a step.
+    /// Records a step.
     pub(crate) fn record(&self, text: CompactString) {
         let at_ms = u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
@@ -90,7 +90,7 @@
 }
 
 impl Explanations {
-    /// Opens the account of a request.
+    /// Starts the explanation of a request; the oldest one is dropped if there are too many.
     pub(crate) fn start(&self, request: &str, caller: &str, asked: &str) -> ExplanationRecorder {
         let explanation = Explanation {
             request: request.into(),
@@ -113,7 +113,7 @@
         recorder
     }
 
-    /// What is known of a request.
+    /// Returns the explanation of a request, if it is recent.
     pub(crate) fn find(&self, request: &str) -> Option<Explanation> {
         let recent = self.recent.lock().unwrap_or_else(PoisonError::into_inner);
         let recorder = recent.by_id.get(request)?;
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,10 +1,11 @@
-//! Which headers pass between callers and plain services, and which requests are malformed.
+//! Filters the headers forwarded between callers and plain services, and rejects malformed
+//! requests.
 
 use bytes::Bytes;
 use salvo::http::{HeaderMap, HeaderName, HeaderValue, header};
 use wire::Header;
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) or to us.
+/// Headers of a single connection (RFC 9110, section 7.6.1) or for the entry itself.
 const NOT_FORWARDED: [&str; 16] = [
     "authorization",
     "connection",
@@ -24,10 +25,11 @@
     "x-urgency",
 ];
 
-/// Why the headers of a request are refused, if they are.
+/// Returns why the headers of a request must be refused, if so.
 ///
-/// Two framings in one request are how a second request is smuggled past whoever reads only one
-/// of them; we frame anew towards targets, but callers that send this are broken or hostile.
+/// Two framings in one request allow a second request to be smuggled past a proxy that reads only
+/// one of them. The entry frames requests to targets anew, but callers that send this are broken or
+/// hostile.
 pub(crate) fn violation(headers: &HeaderMap) -> Option<&'static str> {
     let length = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encoding = headers.get_all(header::TRANSFER_ENCODING).iter().count();
@@ -46,7 +48,7 @@
     None
 }
 
-/// The headers of a request that are passed on to a service.
+/// Returns the headers of a request that are forwarded to a service.
 pub(crate) fn to_service(headers: &HeaderMap) -> Vec<Header> {
     let options = connection_options(headers);
     let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name.as_str(), &options));
@@ -57,7 +59,7 @@
     forwarded.collect()
 }
 
-/// Adds the headers of a service's response that are passed on to its caller.
+/// Adds the headers of a service's response that are forwarded to its caller.
 pub(crate) fn to_caller(from: Vec<Header>, to: &mut HeaderMap) {
     let mut all = HeaderMap::new();
     for header in from {
@@ -79,7 +81,7 @@
     !NOT_FORWARDED.contains(&name) && !options.iter().any(|option| option == name)
 }
 
-/// The headers that `Connection` names as belonging to this connection only.
+/// Returns the headers that `Connection` lists as specific to this connection.
 fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
--- a/crates/entry/src/heartbeat.rs
+++ b/crates/entry/src/heartbeat.rs
@@ -1,51 +1,51 @@
-//! When a connection to an agent is pinged, and when its silence means that it is lost.
+//! Decides when to ping an agent and when its connection has timed out.
 //!
-//! What could go wrong: an agent's VM freezes or is cut off, the connection looks open for many
-//! minutes, and its requests wait for ever. Each connection could be pinged every second, but to
-//! the many agents of a large fleet that alone costs more than the 7 KB/s that control may take:
-//! 9.4 KB/s were measured for 32 agents. So heartbeats ride on traffic: a connection from which
-//! something was heard needs no ping, one with requests is looked after every second, and one
-//! without is left alone for longer.
+//! If an agent's VM freezes or is partitioned, the connection can seem open for many minutes while
+//! its requests wait. Pinging each agent of a large fleet every second would exceed the 7 KB/s
+//! allowed for control traffic: 9.4 KB/s were measured for 32 agents. Any received frame therefore
+//! replaces a ping, unless a report is due; connections with open requests are checked every second,
+//! and others at a longer interval.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often a connection with open requests is looked after.
+/// Interval between checks of a connection with open requests.
 const BUSY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often an agent is told about this entry (demand, configuration in force), traffic or not.
+/// Interval between reports of this entry's status (demand, configuration in force) to an agent,
+/// independent of other traffic.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// After how many intervals without an answer to a ping the agent counts as silent: an answer
-/// that is late by half an interval does not end the connection.
+/// Number of intervals without a response to a ping after which the connection has timed out. A
+/// response that is late by half an interval does not end it.
 const TIMEOUT_INTERVALS: f64 = 1.5;
 
-/// What to do about a connection now.
+/// What to do after a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatAction {
-    /// Nothing: it was heard from.
+    /// Nothing: a frame was received.
     Wait,
     /// Ping the agent.
     Ping,
-    /// Give the connection up.
+    /// Close the connection.
     TimedOut,
 }
 
-/// The heartbeat of one connection.
+/// Heartbeat state of one connection.
 #[derive(Debug)]
 pub(crate) struct Heartbeat {
-    /// When it was last looked after.
+    /// When the connection was last checked.
     last_check: Instant,
-    /// Whether anything was heard since.
+    /// Whether a frame was received since.
     received: bool,
-    /// When the first ping was sent that nothing was heard after.
+    /// When the first ping since the last received frame was sent.
     unanswered_since: Option<Instant>,
-    /// When the agent was last told about this entry.
+    /// When this entry's status was last sent.
     last_report: Option<Instant>,
 }
 
 impl Heartbeat {
-    /// Begins at the connection's start.
+    /// Creates the state of a new connection.
     pub(crate) fn new() -> Self {
         Self {
             last_check: Instant::now(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// When to look after the connection next; `idle` is the interval without open requests.
+    /// Returns when to check the connection next; `idle` is the interval without open requests.
     pub(crate) fn next_check(&self, busy: bool, idle: Duration) -> Instant {
         match self.last_report {
             Some(_) => self.last_check + interval(busy, idle),
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Notes that a frame came.
+    /// Records a received frame.
     pub(crate) fn record_frame(&mut self) {
         self.received = true;
         self.unanswered_since = None;
     }
 
-    /// Looks after the connection.
+    /// Checks the connection and returns what to do.
     pub(crate) fn check(&mut self, busy: bool, idle: Duration) -> HeartbeatAction {
         let now = Instant::now();
         self.last_check = now;
--- a/crates/entry/src/inbox.rs
+++ b/crates/entry/src/inbox.rs
@@ -1,18 +1,18 @@
-//! Where events that arrive from an agent are handed to the attempts that wait for them.
+//! Delivers an agent's events to the attempts of a connection.
 //!
-//! What could go wrong: one slow caller fills its attempt's queue, the connection's reader waits
-//! for it, and all other streams of that agent stand still. Handing on therefore never waits: an
-//! agent that sends more than it has credit for loses the attempt, which is resumed elsewhere.
+//! If delivery waited for an attempt whose caller reads slowly, all other streams of that agent
+//! would stall. Delivery therefore never waits: an attempt whose agent exceeds its credit is
+//! dropped and resumed at another target.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use tokio::sync::mpsc;
 use wire::{AttemptId, EventKind};
 
-/// How many events an agent may send ahead of a slow caller.
+/// Number of events that an agent may send ahead of a slow caller.
 pub(crate) const CREDIT_EVENTS: u32 = 128;
 
-/// Room beside the credit for an offer and for the end, which an agent may send without any.
+/// Queue capacity beyond the credit, for offers and ends, which need none.
 const UNCREDITED_EVENTS: usize = 4;
 
 /// The open attempts of one connection; `None` once it is closed.
@@ -21,26 +21,26 @@
 }
 
 impl Inbox {
-    /// Makes the inbox of a fresh connection.
+    /// Creates the inbox of a new connection.
     pub(crate) fn new() -> Self {
         Self { attempts: Mutex::new(Some(HashMap::new())) }
     }
 
-    /// Opens an attempt; `None` if the connection is closed.
+    /// Registers an attempt; returns `None` if the connection is closed.
     pub(crate) fn open(&self, id: AttemptId) -> Option<mpsc::Receiver<EventKind>> {
         let (sender, events) = mpsc::channel(CREDIT_EVENTS as usize + UNCREDITED_EVENTS);
         self.lock().as_mut()?.insert(id, sender);
         Some(events)
     }
 
-    /// Forgets an attempt that has ended or is abandoned; its late events are dropped from now on.
+    /// Removes an attempt that has ended or is abandoned; late events for it are dropped.
     pub(crate) fn remove(&self, id: AttemptId) {
         if let Some(attempts) = self.lock().as_mut() {
             attempts.remove(&id);
         }
     }
 
-    /// Hands an event on without waiting; one that nobody waits for is dropped.
+    /// Delivers an event without waiting; drops it if the attempt is not open.
     pub(crate) fn deliver(&self, id: AttemptId, kind: EventKind) {
         let mut attempts = self.lock();
         let Some(attempts) = attempts.as_mut() else { return };
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Ends all attempts, because the connection is lost.
+    /// Ends all attempts after the connection is lost.
     pub(crate) fn close(&self) {
         self.lock().take();
     }
 
-    /// How many attempts are open.
+    /// Returns the number of open attempts.
     pub(crate) fn len(&self) -> usize {
         self.lock().as_ref().map_or(0, HashMap::len)
     }
--- a/crates/entry/src/late_binding.rs
+++ b/crates/entry/src/late_binding.rs
@@ -72,7 +72,7 @@
         kind = second_attempt.attempt.next() => (kind, second_attempt, first_attempt),
     };
     match begin_if_offered(&mut winner, kind).await {
-        // Dropping the loser cancels it before [`Attempt::begin`], so it can't start as well.
+        // Dropping the loser cancels it before `Attempt::begin`, so it can't start as well.
         Ok(first) => {
             let SubmittedAttempt { attempt, prefilling } = winner;
             Ok(Started { attempt, first, prefilling })
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`Daemon`]: the entry with its listening socket.
 //! - [`ProcessStatus`]: how far another process has applied the configuration.
 //! - [`Reason`] and [`Execution`]: the reason for a failed request and whether it was executed, as
-//! reported to callers.
+//!   reported to callers.
 //! - [`Explanation`]: which targets a request was sent to, and why.
 
 mod agent_queries;
--- a/crates/entry/src/maintenance.rs
+++ b/crates/entry/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Keeps in step what requests read: tables, candidates, connections, and what others are told.
+//! Keeps shared state current: index, target table, connections, and the status sent to agents.
 
 use crate::daemon::Shared;
 use crate::view::ConfigView;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Rebuilds the tables after each change of the configuration until the task is dropped.
+/// Applies each change of the configuration until the task is dropped.
 pub(crate) async fn follow_config(
     shared: Arc<Shared>,
     mut config: watch::Receiver<Arc<Config>>,
@@ -33,10 +33,10 @@
     }
 }
 
-/// How often what changes with time alone is brought up to date.
+/// Interval between updates of time-dependent state.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// Brings up to date what changes with time, until the task is dropped.
+/// Updates time-dependent state until the task is dropped.
 pub(crate) async fn run_periodic(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(INTERVAL).await;
@@ -51,7 +51,7 @@
     }
 }
 
-/// The agents to keep in touch with: all, or a subset once the fleet is large.
+/// Returns the agents to stay connected to: all of them, or a subset in a large fleet.
 fn connection_subset(shared: &Shared, view: &ConfigView) -> HashSet<CompactString> {
     let mut targets: Vec<_> = view.targets().collect();
     targets.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -1,6 +1,7 @@
-//! Which VMs leave, by the platform's list, which lags.
+//! Tracks leaving VMs by the platform's list, which lags behind.
 //!
-//! The list only takes targets out: whether one is alive is seen on its connection, far sooner.
+//! The list only takes targets out of service; whether a target is available shows much sooner on
+//! its connection.
 
 use conf::Name;
 use plat::{VmList, VmPhase};
@@ -8,23 +9,23 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::Duration;
 
-/// How often the list is read: a leaving target is to get no new work within two seconds.
+/// Read interval; a leaving target must get no new work after two seconds.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The names of agents' targets and processes that leave.
+/// Names of leaving targets, including those whose agent's VM is leaving.
 #[derive(Default)]
 pub(crate) struct Members {
     leaving: RwLock<HashSet<Name>>,
 }
 
 impl Members {
-    /// Whether the VM of a target, or of its agent, leaves.
+    /// Whether the VM of a target, or of its agent, is leaving.
     pub(crate) fn is_leaving(&self, target: &str) -> bool {
         let leaving = self.leaving.read().unwrap_or_else(PoisonError::into_inner);
         !leaving.is_empty() && leaving.contains(target)
     }
 
-    /// Reads the list until the task is dropped; an outage keeps what was last read.
+    /// Reads the list until the task is dropped; after a failed read the last list stays in force.
     pub(crate) async fn run(self: Arc<Self>, vms: Arc<dyn VmList>) {
         loop {
             match vms.list().await {
@@ -40,7 +41,7 @@
             VmPhase::Leaving => true,
             VmPhase::Live => false,
         });
-        // The list names processes; an agent is named after its target.
+        // The list names processes, and an agent is named after its target.
         let names = leaving.map(|vm| vm.name.strip_prefix("agent-").unwrap_or(&vm.name).into());
         *self.leaving.write().unwrap_or_else(PoisonError::into_inner) = names.collect();
     }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::registry::Registry;
 use std::time::Duration;
 
-/// The reason of a refusal, as a label.
+/// Labels of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabel {
     reason: &'static str,
@@ -23,21 +23,21 @@
     refusals: Family<ReasonLabel, Counter>,
     /// Attempts submitted to agents.
     pub(crate) attempts: Counter,
-    /// Answers resumed on another target after some tokens.
+    /// Responses resumed at another target after some tokens.
     pub(crate) resumes: Counter,
-    /// Output tokens of answers that were completed.
+    /// Output tokens of completed responses.
     pub(crate) goodput_tokens: Counter,
-    /// Prompt tokens of answers that were completed.
+    /// Prompt tokens of completed responses.
     pub(crate) prompt_tokens: Counter,
-    /// Requests open now.
+    /// Open requests.
     pub(crate) open: Gauge,
-    /// Streams cut because the caller read too slowly or vanished.
+    /// Streams abandoned because the caller disconnected or read too slowly.
     pub(crate) vanished_callers: Counter,
-    /// The end of the applied part of the config stream.
+    /// Offset up to which the config stream is applied.
     pub(crate) config_offset: Gauge,
-    /// Records of the config stream that are not applied yet.
+    /// Records of the config stream that are not applied yet, as of the last read.
     pub(crate) log_lag: Gauge,
-    /// Seconds since the log last showed the configuration to be complete.
+    /// Seconds since the log last showed the configuration to be complete; -1 if it never did.
     pub(crate) log_age: Gauge,
     duration: Histogram,
     first_token: Histogram,
@@ -91,23 +91,23 @@
         self
     }
 
-    /// Counts a request that got no complete answer.
+    /// Counts a request without a complete response.
     pub(crate) fn request_refused(&self, reason: Reason, execution: crate::Execution) {
         let label = ReasonLabel { reason: reason.name(), run: execution.name() };
         self.refusals.get_or_create(&label).inc();
     }
 
-    /// Notes how long a whole answer took.
+    /// Records the duration of a complete response.
     pub(crate) fn record_duration(&self, duration: Duration) {
         self.duration.observe(duration.as_secs_f64());
     }
 
-    /// Notes how long the first token took.
+    /// Records the time to the first token.
     pub(crate) fn record_first_token(&self, duration: Duration) {
         self.first_token.observe(duration.as_secs_f64());
     }
 
-    /// The text that Prometheus reads.
+    /// Returns the metrics in Prometheus' text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! One agent as the entry knows it: its connection, kept up by a task, and its load.
+//! Maintains the connection to one agent and receives its load.
 
 use crate::peers::PeerContext;
 use crate::session::Session;
@@ -10,34 +10,34 @@
 use tokio::time::Instant;
 use wire::Load;
 
-/// The first wait after a failed dial; it doubles up to [`MAX_BACKOFF`].
+/// Backoff after the first failed connection attempt; it doubles up to [`MAX_BACKOFF`].
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 
-/// The longest wait after a failed dial, so that a mended partition is noticed within seconds.
+/// Maximum backoff, so that the end of a partition is detected within seconds.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long a connection outside the entry's subset is kept without work.
+/// Idle time after which a connection outside the entry's subset is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(30);
 
-/// One agent.
+/// An agent.
 pub(crate) struct Peer {
     address: CompactString,
     session: watch::Sender<Option<Arc<Session>>>,
     last_load: Mutex<Option<LoadVersion>>,
-    /// Whether the connection is kept without work.
+    /// Whether the connection is kept open while idle.
     persistent: AtomicBool,
     last_used: Mutex<Instant>,
     wake_up: Notify,
 }
 
-/// Which load of which process was heard last.
+/// Identifies the last load report that was applied.
 struct LoadVersion {
     sequence: u64,
     incarnation: u64,
 }
 
 impl Peer {
-    /// Makes an agent that is not connected yet; [`Peer::run`] is its task.
+    /// Creates an agent that is not connected yet; [`Peer::run`] connects it.
     pub(crate) fn new(address: CompactString, persistent: bool) -> Self {
         Self {
             address,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Says whether the connection is kept without work.
+    /// Sets whether the connection is kept open while idle.
     pub(crate) fn set_persistent(&self, persistent: bool) {
         self.persistent.store(persistent, Ordering::Relaxed);
         if persistent {
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Whether a connection stands.
+    /// Whether the agent is connected.
     pub(crate) fn is_connected(&self) -> bool {
         self.session.borrow().is_some()
     }
 
-    /// The connection, waiting up to `patience` for one.
+    /// Returns the connection, waiting up to `timeout` for one.
     pub(crate) async fn session(&self, timeout: Duration) -> Option<Arc<Session>> {
         *self.last_used.lock().unwrap_or_else(PoisonError::into_inner) = Instant::now();
         if let Some(session) = self.session.borrow().clone() {
@@ -74,7 +74,7 @@
         connected.ok()?.ok()?.clone()
     }
 
-    /// Takes a load in unless a newer one of the same process was heard.
+    /// Applies a load report unless a newer one of the same incarnation was applied.
     pub(crate) fn observe_load(&self, context: &PeerContext, load: &Load, incarnation: u64) {
         let mut last_load = self.last_load.lock().unwrap_or_else(PoisonError::into_inner);
         let outdated = last_load.as_ref().is_some_and(|last_load| {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether a connection may be closed because nothing needs it.
+    /// Whether the connection may be closed because it is idle and not persistent.
     pub(crate) fn is_idle(&self, session: &Session) -> bool {
         let last_used = *self.last_used.lock().unwrap_or_else(PoisonError::into_inner);
         let persistent = self.persistent.load(Ordering::Relaxed);
@@ -99,7 +99,7 @@
         context.decisions.targets.set_connected(&self.address, connected, context.decisions.now());
     }
 
-    /// Keeps the agent connected while it is wanted.
+    /// Connects to the agent whenever a connection is needed, until the task is dropped.
     pub(crate) async fn run(self: Arc<Self>, context: Arc<PeerContext>) {
         let mut backoff = FIRST_BACKOFF;
         loop {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! All agents that the entry knows, by address.
+//! The agents that the entry connects to, by address.
 
 use crate::decisions::Decisions;
 use crate::peer::Peer;
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 use wire::{AttemptId, Dialler, Key, Sighting};
 
-/// What all connections of an entry share.
+/// State shared by all connections of an entry.
 pub(crate) struct PeerContext {
     pub(crate) dialler: Arc<dyn Dialler>,
     pub(crate) key: Key,
@@ -24,22 +24,22 @@
     next_attempt: AtomicU64,
     sighting: RwLock<Sighting>,
     sightings_requested_at: Mutex<Option<Duration>>,
-    persistent: AtomicUsize,
+    persistent_count: AtomicUsize,
 }
 
-/// All agents.
+/// All known agents.
 pub(crate) struct Peers {
     context: Arc<PeerContext>,
-    agents: RwLock<HashMap<CompactString, ConnectedPeer>>,
+    agents: RwLock<HashMap<CompactString, PeerTask>>,
 }
 
-struct ConnectedPeer {
+struct PeerTask {
     peer: Arc<Peer>,
     task: AbortHandle,
 }
 
 impl PeerContext {
-    /// Makes what the connections of the entry `name` share.
+    /// Creates the state shared by the connections of the entry `name`.
     pub(crate) fn new(
         dialler: Arc<dyn Dialler>,
         key: Key,
@@ -50,7 +50,7 @@
         let incarnation = random.number();
         let sighting = Sighting { entry: name.to_string(), incarnation, ..Sighting::default() };
         let (next_attempt, sighting) = (AtomicU64::new(1), RwLock::new(sighting));
-        let (sightings_requested_at, persistent) = (Mutex::default(), AtomicUsize::new(0));
+        let (sightings_requested_at, persistent_count) = (Mutex::default(), AtomicUsize::new(0));
         Self {
             dialler,
             key,
@@ -62,19 +62,19 @@
             next_attempt,
             sighting,
             sightings_requested_at,
-            persistent,
+            persistent_count,
         }
     }
 
-    /// A fresh id. One counter serves all connections, so an id is never used again and a late
-    /// frame can't be taken for one of a later attempt.
+    /// Returns a new attempt id. Ids are unique over all connections, so that a late frame can't be
+    /// mistaken for one of a later attempt.
     pub(crate) fn next_attempt(&self) -> AttemptId {
         self.next_attempt.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// What the entry says of itself with each ping.
+    /// Returns the entry's status as sent with each ping.
     pub(crate) fn sighting(&self) -> Sighting {
-        /// Callers told about when there are many agents to tell.
+        /// Maximum number of callers whose usage is reported to each of many agents.
         const MAX_USAGES: usize = 4;
         let mut sighting = self.sighting.read().unwrap_or_else(PoisonError::into_inner).clone();
         if self.has_many_agents() {
@@ -83,31 +83,31 @@
         sighting
     }
 
-    /// Whether an agent should be asked now which entries it hears from.
+    /// Returns whether to request an agent's view of the other entries now, and records the request
+    /// if so.
     pub(crate) fn take_sightings_due(&self) -> bool {
-        /// Each answer holds some 36 sightings of up to 0.4 KB at the size to design for, so that
-        /// one every five seconds stays under 3 KB/s.
+        /// Each response has about 36 sightings of up to 0.4 KB at the design size; one every five
+        /// seconds stays below 3 KB/s.
         const INTERVAL: Duration = Duration::from_secs(5);
         let now = self.decisions.now();
-        let mut sightings_requested_at =
+        let mut requested_at =
             self.sightings_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
-        let due = sightings_requested_at.is_none_or(|sightings_requested_at| {
-            now.saturating_sub(sightings_requested_at) >= INTERVAL
-        });
+        let due =
+            requested_at.is_none_or(|requested_at| now.saturating_sub(requested_at) >= INTERVAL);
         if due {
-            *sightings_requested_at = Some(now);
+            *requested_at = Some(now);
         }
         due
     }
 
-    /// Sets how many agents are kept in touch with.
-    pub(crate) fn set_persistent_count(&self, persistent: usize) {
-        self.persistent.store(persistent, Ordering::Relaxed);
+    /// Sets the number of persistent connections.
+    pub(crate) fn set_persistent_count(&self, count: usize) {
+        self.persistent_count.store(count, Ordering::Relaxed);
     }
 
-    /// How often an agent without open requests is pinged: its answers carry its load, so this
-    /// bounds the load's age. With many agents it is longer, to stay under the 7 KB/s that control
-    /// may cost: 48 agents every 4 s are 2.5 KB/s.
+    /// Returns the interval between pings to an agent without open requests. Responses carry the
+    /// agent's load, so the interval bounds the load's age. It is longer with many agents, so that
+    /// control traffic stays below 7 KB/s: 48 agents every 4 s are 2.5 KB/s.
     pub(crate) fn ping_interval(&self) -> Duration {
         match self.has_many_agents() {
             true => Duration::from_secs(4),
@@ -116,29 +116,29 @@
     }
 
     fn has_many_agents(&self) -> bool {
-        /// Agents up to which each is pinged every second with all that there is to tell.
+        /// Maximum number of agents that are each pinged every second with the complete status.
         const FEW_AGENTS: usize = 24;
-        self.persistent.load(Ordering::Relaxed) > FEW_AGENTS
+        self.persistent_count.load(Ordering::Relaxed) > FEW_AGENTS
     }
 
-    /// Changes what the entry says of itself.
+    /// Modifies the entry's status.
     pub(crate) fn update_sighting(&self, change: impl FnOnce(&mut Sighting)) {
         change(&mut self.sighting.write().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
 impl Peers {
-    /// Makes the empty set.
+    /// Creates an empty set.
     pub(crate) fn new(context: Arc<PeerContext>) -> Self {
         Self { context, agents: RwLock::default() }
     }
 
-    /// What all connections share.
+    /// Returns the state shared by all connections.
     pub(crate) fn context(&self) -> &Arc<PeerContext> {
         &self.context
     }
 
-    /// The agent at `address`, which is connected to from now on.
+    /// Returns the agent at `address`, and starts its connection task if there is none.
     pub(crate) fn get(&self, address: &CompactString) -> Arc<Peer> {
         if let Some(peer) = self.find(address) {
             return peer;
@@ -146,14 +146,14 @@
         self.add(address, false)
     }
 
-    /// The agent at `address`, if it is known.
+    /// Returns the agent at `address` if it is known.
     pub(crate) fn find(&self, address: &CompactString) -> Option<Arc<Peer>> {
         let known = self.agents.read().unwrap_or_else(PoisonError::into_inner);
         known.get(address).map(|known| known.peer.clone())
     }
 
-    /// Keeps connections to `kept`, lets others close once they have no work, and forgets those
-    /// not in `configured` that are closed.
+    /// Keeps the connections to `persistent` open and lets others close when idle. Removes agents
+    /// that are neither in `configured` nor connected.
     pub(crate) fn update_persistent(
         &self,
         persistent: &HashSet<CompactString>,
@@ -181,7 +181,7 @@
         let known = known.entry(address.clone()).or_insert_with(|| {
             let peer = Arc::new(Peer::new(address.clone(), persistent));
             let task = tokio::spawn(peer.clone().run(self.context.clone())).abort_handle();
-            ConnectedPeer { peer, task }
+            PeerTask { peer, task }
         });
         known.peer.clone()
     }
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,5 +1,5 @@
-//! How a caller is told that its request gets no complete answer: RFC 9457 problem details, or
-//! OpenAI's error object on its routes.
+//! Responses to requests that fail: RFC 9457 problem details, or OpenAI's error object on its
+//! routes.
 
 use crate::Reason;
 use crate::outcome::{AttemptHistory, Execution, Failure};
@@ -8,7 +8,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// The final answer to a request that gets no complete one.
+/// The final result of a request without a complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Problem {
     pub(crate) reason: Reason,
@@ -18,23 +18,23 @@
 }
 
 impl Problem {
-    /// A request that was refused before any attempt.
+    /// Creates the problem of a request that was refused before any attempt.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
         Self::new(Failure::not_run(reason, detail), &AttemptHistory::new(true))
     }
 
-    /// A request whose last attempt failed, after those on the trail.
+    /// Creates the problem of a request whose last attempt failed, given its earlier attempts.
     pub(crate) fn new(failure: Failure, history: &AttemptHistory) -> Self {
         let mut history = *history;
         history.record(failure.progress);
         let Failure { reason, retry_after, detail, .. } = failure;
-        // That its answer is gone does not make it unknown whether such a call ran.
+        // The call is known to have been executed, although its response was not recorded.
         let execution =
             if reason == Reason::AnswerNotKept { Execution::Run } else { history.execution() };
         Self { reason, execution, retry_after, detail }
     }
 
-    /// The body on OpenAI's routes.
+    /// Returns the body on OpenAI's routes.
     pub(crate) fn openai(&self) -> serde_json::Value {
         json!({"error": {
             "message": self.detail, "type": "lapismast", "code": self.reason.name(),
@@ -42,7 +42,7 @@
         }})
     }
 
-    /// The body on all other routes.
+    /// Returns the body on all other routes.
     fn details(&self) -> serde_json::Value {
         let name = self.reason.name();
         json!({
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -1,7 +1,7 @@
-//! How far the other processes have applied the configuration, as their own words tell it.
+//! Tracks how far the other processes have applied the configuration, as they report it.
 //!
-//! Agents say it with each load, entries through the agents that hear them. From this operators
-//! learn whether a change is in force everywhere, and which process lags.
+//! Agents report it with their load, entries through the agents that they are connected to.
+//! Operators use it to see whether a change is in force everywhere, and which process lags.
 
 use compact_str::{CompactString, ToCompactString};
 use plat::Offset;
@@ -11,31 +11,32 @@
 use tokio::time::Instant;
 use wire::{Load, Sighting};
 
-/// What another process last said of itself.
+/// The last reported status of another process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProcessStatus {
-    /// The entry's name, or the name of the target that the agent stands beside.
+    /// The entry's name, or the name of the agent's target.
     pub name: CompactString,
     /// The offset up to which it has applied the `config` stream.
     pub config_offset: Offset,
-    /// How long ago it said so.
+    /// Time since the report.
     pub age: Duration,
     /// The target's load, if it is an agent.
     pub load: Option<Load>,
 }
 
-/// What the other processes last said of themselves.
+/// The last reported status of each other process.
 #[derive(Default)]
 pub(crate) struct Processes {
     agents: Mutex<HashMap<CompactString, (Load, Instant)>>,
     entries: Mutex<HashMap<CompactString, (Offset, Instant)>>,
 }
 
-/// After what silence an entry counts as gone: several of the rounds in which agents are asked.
+/// Time without a report after which an entry is considered gone; it covers several rounds of
+/// queries to agents.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(20);
 
 impl Processes {
-    /// Notes what the agent at an address says.
+    /// Records the load reported by the agent at `address`.
     pub(crate) fn observe_agent(&self, address: &CompactString, load: &Load) {
         let mut agents = self.agents();
         match agents.get_mut(address) {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Notes what an agent says of the entries that it hears.
+    /// Records the entries reported by an agent.
     pub(crate) fn observe_entries(&self, sightings: &[Sighting]) {
         let now = Instant::now();
         let mut entries = self.entries();
@@ -55,14 +56,14 @@
             let at = now.checked_sub(age).unwrap_or(now);
             let reported = (sighting.config_offset, at);
             let known = entries.entry(sighting.entry.to_compact_string()).or_insert(reported);
-            // Several agents tell of one entry; an old sighting must not replace a newer one.
+            // Several agents report the same entry; an older report must not replace a newer one.
             if at >= known.1 {
                 *known = reported;
             }
         }
     }
 
-    /// What the agent at an address last said.
+    /// Returns the last reported status of the agent at `address`.
     pub(crate) fn agent(&self, target: &str, address: &CompactString) -> Option<ProcessStatus> {
         let agents = self.agents();
         let (load, at) = agents.get(address)?;
@@ -74,7 +75,7 @@
         })
     }
 
-    /// The entries that were heard of lately.
+    /// Returns the entries that were seen recently.
     pub(crate) fn recent_entries(&self) -> Vec<ProcessStatus> {
         let mut entries = self.entries();
         entries.retain(|_, (_, at)| at.elapsed() < ENTRY_EXPIRY);
--- a/crates/entry/src/random.rs
+++ b/crates/entry/src/random.rs
@@ -1,4 +1,4 @@
-//! The entry's random numbers, from one seed, so that a test's session is the same each time.
+//! The entry's random numbers, all from one seed, so that tests can reproduce a session.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha12Rng;
@@ -9,22 +9,22 @@
 pub(crate) struct Random(Mutex<ChaCha12Rng>);
 
 impl Random {
-    /// Makes the source that a seed determines.
+    /// Creates the generator for a seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self(Mutex::new(ChaCha12Rng::seed_from_u64(seed)))
     }
 
-    /// Any number.
+    /// Returns a random number.
     pub(crate) fn number(&self) -> u64 {
         self.with(|rng| rng.next_u64())
     }
 
-    /// Hands the source to a decision.
+    /// Calls `decide` with the generator.
     pub(crate) fn with<T>(&self, decide: impl FnOnce(&mut dyn Rng) -> T) -> T {
         decide(&mut *self.0.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// A time between half of `most` and `most`, so that many waiters do not come back at once.
+    /// Returns a random duration between half of `max` and `max`, which spreads retries over time.
     pub(crate) fn jitter(&self, max: Duration) -> Duration {
         const STEPS: u32 = 1_024;
         let step = u32::try_from(self.number() % u64::from(STEPS)).unwrap_or_default();
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -216,8 +216,8 @@
 
     /// Refuses a request early if it can't begin in time after the work ahead of it at `targets`.
     ///
-    /// Urgent requests are exempt: they go ahead of that work, and only the agent knows their own
-    /// queue. When they were judged by all work ahead, a fleet at three times its load refused 95
+    /// Urgent requests are exempt: they go ahead of that work, and only the agent knows what is ahead
+    /// of them. When they were judged by all work ahead, a fleet at three times its load refused 95
     /// of 100 urgent requests as too late that would have begun within 60 ms.
     fn admit(&self, targets: &[SelectedTarget], remaining: Duration) -> Result<(), Failure> {
         let cost =
--- a/crates/entry/src/router.rs
+++ b/crates/entry/src/router.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the one target for a prompt that was running when a target crashed. All entries choose
-/// the same one, so that the prompt runs alone and can crash no other target.
+/// the same one, so that the prompt runs alone there and a crash affects nothing else.
 pub(crate) fn for_suspect(
     shared: &Shared,
     prompt: &Prompt,
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -1,4 +1,4 @@
-//! One connection to an agent: a task that reads and one that writes.
+//! A connection to an agent, with one task that reads and one that writes.
 
 use crate::attempt::{Attempt, Outbox};
 use crate::heartbeat::{Heartbeat, HeartbeatAction};
@@ -17,13 +17,13 @@
     Writer,
 };
 
-/// How many frames wait for the connection before requests wait for it.
+/// Maximum frames queued for the connection; further requests wait.
 const OUTBOX_FRAMES: usize = 1_024;
 
-/// How long a dial with its handshake may take.
+/// Maximum time to connect, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A live connection to an agent.
+/// An established connection to an agent.
 pub(crate) struct Session {
     outbox: Outbox,
     inbox: Arc<Inbox>,
@@ -33,7 +33,7 @@
 }
 
 impl Session {
-    /// Dials the agent at `address` and shakes hands.
+    /// Connects to the agent at `address` and performs the handshake.
     pub(crate) async fn connect(
         context: &PeerContext,
         address: &str,
@@ -65,7 +65,7 @@
         Ok((Arc::new(session), reader, frames, writer))
     }
 
-    /// Submits a request; `None` if the connection is lost, and then nothing was sent.
+    /// Submits a request; returns `None` if the connection is lost, in which case nothing was sent.
     pub(crate) async fn submit(
         &self,
         context: &PeerContext,
@@ -83,7 +83,7 @@
         Some(attempt)
     }
 
-    /// Goes on with an answer; `None` if the connection is lost.
+    /// Resumes a response through a new attempt; returns `None` if the connection is lost.
     pub(crate) async fn attach(
         &self,
         context: &PeerContext,
@@ -100,7 +100,8 @@
         Some(attempt)
     }
 
-    /// Asks a question outside any attempt; `None` if the connection is lost first.
+    /// Sends a query that belongs to no attempt; returns `None` if the connection is lost before
+    /// the reply.
     pub(crate) async fn ask(&self, kind: AskKind, body: Bytes) -> Option<Bytes> {
         let id = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
@@ -110,12 +111,12 @@
         answer.await.ok()
     }
 
-    /// How many attempts are open.
+    /// Returns the number of open attempts.
     pub(crate) fn open_attempts(&self) -> usize {
         self.inbox.len()
     }
 
-    /// Runs the connection until it is lost, is silent for too long, or is not wanted any more.
+    /// Runs the connection until it is lost, times out, or is idle and not persistent.
     pub(crate) async fn run(
         self: Arc<Self>,
         context: &PeerContext,
@@ -159,7 +160,8 @@
         let nonce = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let sender = Some(context.sighting());
         let ping = Ping { nonce, sender, wants_sightings: context.take_sightings_due() };
-        // A full queue shows by itself that the peer does not read; silence ends it.
+        // A full queue means that the agent does not read; the heartbeat timeout then ends the
+        // connection.
         let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
     }
 
@@ -186,11 +188,11 @@
                 let pending_replies =
                     &mut self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner);
                 if let Some(sender) = pending_replies.remove(&id) {
-                    // Whoever asked may have given up.
+                    // The receiver may have timed out.
                     let _ = sender.send(body);
                 }
             }
-            // The rest is for agents, or comes from a newer version.
+            // Other frames are for agents only, or of a newer version.
             Some(
                 Body::Hello(_)
                 | Body::Proof(_)
@@ -207,7 +209,7 @@
     }
 }
 
-/// Writes frames, flushing once for all that are ready.
+/// Writes frames and flushes once per batch of ready frames.
 async fn write_frames(mut writer: Writer, mut frames: mpsc::Receiver<Frame>) -> wire::Result<()> {
     while let Some(frame) = frames.recv().await {
         writer.feed(frame).await?;
--- a/crates/entry/src/versions.rs
+++ b/crates/entry/src/versions.rs
@@ -1,9 +1,9 @@
-//! Which version of a model a request gets that does not name one.
+//! Chooses the model version for requests that name none.
 //!
-//! What could go wrong: an operator puts a new version in service, entries route to it at once,
-//! and until the first engine has loaded it every request is refused; then all of them go to
-//! that one engine. So requests keep to the version that they had until half as many engines
-//! serve the new one as the old. Engines serve the old one until all have the new.
+//! If requests used a new version as soon as it is configured, all of them would be refused until
+//! the first engine has loaded it, and then all would go to that one engine. Requests therefore use
+//! the previous version until at least half as many engines serve the new one as the previous one.
+//! Engines serve the previous version until all have the new one.
 
 use crate::router::served_name;
 use crate::target_table::TargetTable;
@@ -11,14 +11,14 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// The version that each model's requests got last.
+/// The version last chosen for each model.
 #[derive(Default)]
 pub(crate) struct Versions {
     last_chosen: Mutex<HashMap<Name, Name>>,
 }
 
 impl Versions {
-    /// The version for a request that names none; `desired` is the configuration's.
+    /// Returns the version for a request that names none; `desired` is the configured one.
     pub(crate) fn choose(
         &self,
         targets: &TargetTable,
@@ -31,12 +31,13 @@
         let previous = match last_chosen.get(model) {
             Some(previous) if previous == desired => return desired.clone(),
             Some(previous) => previous.clone(),
-            // An entry that starts in the middle of a change learns from the engines.
+            // An entry that starts during a change of versions adopts the version that most engines
+            // serve.
             None => targets.most_served_version(model, adapter).unwrap_or_default(),
         };
         let (new, old) = (served(desired), served(&previous));
         if new == 0 && old == 0 {
-            // Nothing was heard of the engines yet, so nothing is learnt from it either.
+            // No engine has reported its versions yet, so no choice is recorded.
             return desired.clone();
         }
         if 2 * new >= old {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,6 +1,6 @@
-//! What requests need of the configuration, in tables that are built once for each change.
+//! Indexes the configuration for requests; rebuilt after each change.
 //!
-//! Without it every request would walk all 4,500 callers and 700 targets.
+//! Without it, every request would search 4,500 callers and 700 targets.
 
 use crate::peer::Peer;
 use crate::peers::Peers;
@@ -14,10 +14,10 @@
 /// SHA-256 of a bearer token.
 pub(crate) type Digest = [u8; 32];
 
-/// The configuration at one offset, arranged for requests.
+/// The configuration at one offset, indexed for requests.
 #[derive(Default)]
 pub(crate) struct ConfigView {
-    /// The offset of the first record that is not in it.
+    /// The offset of the first record that is not applied.
     pub(crate) end: Offset,
     callers: HashMap<Digest, Arc<ConfiguredCaller>>,
     anonymous: Option<Arc<ConfiguredCaller>>,
@@ -26,7 +26,7 @@
     targets: HashMap<Name, Arc<ConfiguredTarget>>,
 }
 
-/// A caller.
+/// A configured caller.
 pub(crate) struct ConfiguredCaller {
     pub(crate) name: Name,
     pub(crate) spec: Caller,
@@ -42,7 +42,7 @@
 
 /// A plain service and its targets.
 pub(crate) struct Service {
-    /// Whether all its targets say that running a call twice does no harm.
+    /// Whether all its targets declare that a call may be executed more than once.
     pub(crate) repeatable: bool,
     pub(crate) targets: Vec<Arc<ConfiguredTarget>>,
 }
@@ -55,7 +55,7 @@
 }
 
 impl ConfigView {
-    /// Arranges a configuration.
+    /// Builds the index of a configuration.
     pub(crate) fn new(config: &Config, peers: &Peers) -> Self {
         let mut view = Self { end: config.end(), ..Self::default() };
         for (name, caller) in config.callers() {
@@ -78,7 +78,7 @@
         view
     }
 
-    /// The caller whose token has this digest, or the open one.
+    /// Returns the caller whose token has this digest, or the caller without a token.
     pub(crate) fn caller(&self, digest: Option<&Digest>) -> Option<&Arc<ConfiguredCaller>> {
         match digest {
             Some(digest) => self.callers.get(digest),
@@ -86,29 +86,29 @@
         }
     }
 
-    /// A model that is in the configuration.
+    /// Returns a configured model.
     pub(crate) fn model(&self, name: &str) -> Option<&Model> {
         self.models.get(name)
     }
 
-    /// The names of all models, in order.
+    /// Returns the names of all models, sorted.
     pub(crate) fn models(&self) -> Vec<&Name> {
         let mut names: Vec<_> = self.models.keys().collect();
         names.sort();
         names
     }
 
-    /// A plain service of which the configuration has at least one target.
+    /// Returns a plain service that has at least one configured target.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// A configured target.
+    /// Returns a configured target.
     pub(crate) fn target(&self, name: &str) -> Option<&Arc<ConfiguredTarget>> {
         self.targets.get(name)
     }
 
-    /// All configured targets.
+    /// Returns all configured targets.
     pub(crate) fn targets(&self) -> impl Iterator<Item = &Arc<ConfiguredTarget>> {
         self.targets.values()
     }
@@ -124,7 +124,7 @@
             None if spec.token_sha256.is_empty() => {
                 self.anonymous.get_or_insert(caller);
             }
-            // The configuration's own check lets no other digests in.
+            // Validation of the configuration admits no other digests.
             None => {}
         }
     }
@@ -147,7 +147,7 @@
 }
 
 impl ConfiguredTarget {
-    /// Whether the configuration lets it have new work.
+    /// Whether the configuration allows new work for this target.
     pub(crate) fn is_active(&self) -> bool {
         match self.spec.phase {
             Phase::Active => true,
--- a/crates/entry/tests/reasons.rs
+++ b/crates/entry/tests/reasons.rs
@@ -1,9 +1,9 @@
-//! The page for callers and the code name the same reasons.
+//! Checks that documentation, entry and agent agree on the reasons for failed requests.
 
 use entry::Reason;
 
 #[test]
-fn every_reason_stands_on_the_page_for_callers_with_its_status() {
+fn every_reason_is_documented_for_callers_with_its_status() {
     let page = include_str!("../../../docs/CALLERS.md");
     let rows: Vec<&str> = page.lines().filter(|line| line.starts_with("| `")).collect();
     for reason in Reason::ALL {
@@ -19,13 +19,13 @@
     }
 }
 
-// An agent gives a reason that the entry does not know. Callers would read `other`, and a planned
-// change would be treated like a failure.
+// If an agent returned a reason that the entry does not know, callers would receive `other`, and a
+// planned change would count as a failure.
 #[test]
-fn every_reason_that_agents_give_is_known() {
+fn every_reason_that_agents_return_is_known() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../agent/src");
     let mut seen = 0;
-    for file in std::fs::read_dir(folder).expect("the agent's code lies beside") {
+    for file in std::fs::read_dir(folder).expect("the agent's sources are in the workspace") {
         let text = std::fs::read_to_string(file.expect("a file").path()).expect("text");
         for call in ["not_run(", "started(", "unknown("] {
             for rest in text.split(call).skip(1) {
