--- a/crates/entry/src/bootstrap.rs
+++ b/crates/entry/src/bootstrap.rs
@@ -1,8 +1,8 @@
-//! Gets the folded state from agents while the log does not give it.
+//! Fetches state snapshots from agents while the log is unavailable.
 //!
-//! What could go wrong: an entry is replaced while the log is out, and has nothing to serve with
-//! for hours. Agents hold the same folded state; the one that goes furthest is taken, and what is
-//! taken never goes backwards, since followers refuse an older state than their own.
+//! An entry that is replaced during a log outage would otherwise have no configuration, possibly
+//! for hours. Agents hold the same state; the snapshot with the highest offset is applied. State
+//! never goes backwards, because followers refuse a snapshot that is older than their own state.
 
 use crate::daemon::Shared;
 use bytes::Bytes;
@@ -13,23 +13,23 @@
 use tokio::sync::{mpsc, watch};
 use wire::AskKind;
 
-/// How long to wait for one agent.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum time to wait for one agent.
+const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How often agents are asked while the log gives nothing.
+/// Interval between rounds of queries while the state is not current.
 const INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state counts as current if the log showed it to be complete this recently; a read waits up
-/// to two seconds for news.
-const FRESH: Duration = Duration::from_secs(10);
+/// Maximum time since the log last showed the state to be complete for it to count as current. A
+/// read waits up to two seconds for new records.
+const MAX_STATE_AGE: Duration = Duration::from_secs(10);
 
-/// How many agents are asked at a time.
-const ASKED: usize = 4;
+/// Number of agents queried per round.
+const AGENTS_PER_ROUND: usize = 4;
 
-/// What takes the states of agents in.
+/// Receives snapshots of agents and passes them to the followers.
 pub(crate) struct Bootstrap {
     pub(crate) shared: Arc<Shared>,
-    /// Addresses from the settings, for an entry that knows nothing yet.
+    /// Addresses of agents from the settings, for an entry without a configuration.
     pub(crate) peers: Vec<CompactString>,
     pub(crate) health: watch::Receiver<Health>,
     pub(crate) config: mpsc::Sender<Config>,
@@ -37,51 +37,55 @@
 }
 
 impl Bootstrap {
-    /// Asks agents until the task is dropped, as long as the log does not show the state.
+    /// Queries agents while the state is not current, until the task is dropped.
     pub(crate) async fn run(self) {
-        let mut turn = 0;
+        let mut offset = 0;
         loop {
-            if !self.health.borrow().is_fresh(FRESH) {
-                let asked = self.some(turn);
-                let asking = asked.iter().map(|address| self.ask(address));
-                futures_util::future::join_all(asking).await;
-                turn += ASKED;
+            if !self.health.borrow().is_fresh(MAX_STATE_AGE) {
+                let agents = self.select_agents(offset);
+                let requests = agents.iter().map(|address| self.fetch_state(address));
+                futures_util::future::join_all(requests).await;
+                offset += AGENTS_PER_ROUND;
             }
             tokio::time::sleep(INTERVAL).await;
         }
     }
 
-    /// Some of the agents known, other ones each turn.
-    fn some(&self, turn: usize) -> Vec<CompactString> {
+    /// Returns the agents to query in this round; each round continues where the last one ended.
+    fn select_agents(&self, offset: usize) -> Vec<CompactString> {
         let view = self.shared.view.borrow().clone();
-        let mut all: Vec<_> = view.targets().map(|site| site.spec.agent.clone()).collect();
+        let mut all: Vec<_> = view.targets().map(|target| target.spec.agent.clone()).collect();
         all.extend(self.peers.iter().cloned());
         all.sort();
         all.dedup();
         let count = all.len();
-        all.into_iter().cycle().skip(turn % count.max(1)).take(ASKED.min(count)).collect()
+        all.into_iter()
+            .cycle()
+            .skip(offset % count.max(1))
+            .take(AGENTS_PER_ROUND.min(count))
+            .collect()
     }
 
-    async fn ask(&self, address: &CompactString) {
+    async fn fetch_state(&self, address: &CompactString) {
         let peer = self.shared.peers.get(address);
-        let asking = async {
-            let session = peer.session(ASK_TIMEOUT).await?;
+        let request = async {
+            let session = peer.session(AGENT_TIMEOUT).await?;
             session.ask(AskKind::Snapshot, Bytes::new()).await
         };
-        let reply = tokio::time::timeout(ASK_TIMEOUT, asking).await.ok().flatten();
+        let reply = tokio::time::timeout(AGENT_TIMEOUT, request).await.ok().flatten();
         let Some(reply) = reply.filter(|reply| !reply.is_empty()) else { return };
         match Snapshots::read(address, &reply) {
-            Ok(snapshots) => self.take(address, &snapshots),
+            Ok(snapshots) => self.offer(address, &snapshots),
             Err(error) => log::warn!(peer = address.as_str(), error:% = error; "state-unreadable"),
         }
     }
 
-    fn take(&self, address: &str, snapshots: &Snapshots) {
+    fn offer(&self, address: &str, snapshots: &Snapshots) {
         let unreadable = |error: state::Error| {
             log::warn!(peer = address, error:% = error; "state-unreadable");
         };
         match snapshots.open::<Config>(plat::CONFIG_STREAM) {
-            // A full queue holds states that are as good.
+            // If the queue is full, it holds snapshots that serve as well.
             Some(Ok(config)) => drop(self.config.try_send(config)),
             Some(Err(error)) => unreadable(error),
             None => {}
--- a/crates/entry/src/headers.rs
+++ b/crates/entry/src/headers.rs
@@ -1,11 +1,12 @@
-//! Which headers pass between callers and plain services, and which requests are malformed.
+//! Filters the headers forwarded between callers and plain services, and rejects malformed
+//! requests.
 
 use bytes::Bytes;
 use salvo::http::{HeaderMap, HeaderName, HeaderValue, header};
 use wire::Header;
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1) or to us.
-const KEPT_BACK: [&str; 16] = [
+/// Headers of a single connection (RFC 9110, section 7.6.1) or for the entry itself.
+const NOT_FORWARDED: [&str; 16] = [
     "authorization",
     "connection",
     "content-length",
@@ -24,11 +25,12 @@
     "x-urgency",
 ];
 
-/// Why the headers of a request are refused, if they are.
+/// Returns why the headers of a request must be refused, if so.
 ///
-/// Two framings in one request are how a second request is smuggled past whoever reads only one
-/// of them; we frame anew towards targets, but callers that send this are broken or hostile.
-pub(crate) fn fault(headers: &HeaderMap) -> Option<&'static str> {
+/// Two framings in one request allow a second request to be smuggled past a proxy that reads only
+/// one of them. The entry frames requests to targets anew, but callers that send this are broken or
+/// hostile.
+pub(crate) fn violation(headers: &HeaderMap) -> Option<&'static str> {
     let length = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encoding = headers.get_all(header::TRANSFER_ENCODING).iter().count();
     if length > 0 && encoding > 0 {
@@ -46,18 +48,18 @@
     None
 }
 
-/// The headers of a request that are passed on to a service.
+/// Returns the headers of a request that are forwarded to a service.
 pub(crate) fn to_service(headers: &HeaderMap) -> Vec<Header> {
-    let named = named_in_connection(headers);
-    let passed = headers.iter().filter(|(name, _)| passes(name.as_str(), &named));
-    let passed = passed.map(|(name, value)| Header {
+    let options = connection_options(headers);
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name.as_str(), &options));
+    let forwarded = forwarded.map(|(name, value)| Header {
         name: name.to_string(),
         value: Bytes::copy_from_slice(value.as_bytes()),
     });
-    passed.collect()
+    forwarded.collect()
 }
 
-/// Adds the headers of a service's response that are passed on to its caller.
+/// Adds the headers of a service's response that are forwarded to its caller.
 pub(crate) fn to_caller(from: Vec<Header>, to: &mut HeaderMap) {
     let mut all = HeaderMap::new();
     for header in from {
@@ -67,20 +69,20 @@
             all.append(name, value);
         }
     }
-    let named = named_in_connection(&all);
+    let options = connection_options(&all);
     for (name, value) in &all {
-        if passes(name.as_str(), &named) {
+        if is_forwarded(name.as_str(), &options) {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-fn passes(name: &str, named: &[String]) -> bool {
-    !KEPT_BACK.contains(&name) && !named.iter().any(|other| other == name)
+fn is_forwarded(name: &str, options: &[String]) -> bool {
+    !NOT_FORWARDED.contains(&name) && !options.iter().any(|option| option == name)
 }
 
-/// The headers that `Connection` names as belonging to this connection only.
-fn named_in_connection(headers: &HeaderMap) -> Vec<String> {
+/// Returns the headers that `Connection` lists as specific to this connection.
+fn connection_options(headers: &HeaderMap) -> Vec<String> {
     let values = headers.get_all(header::CONNECTION).iter();
     let texts = values.filter_map(|value| value.to_str().ok());
     let names = texts.flat_map(|text| text.split(',')).map(|name| name.trim().to_ascii_lowercase());
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::registry::Registry;
 use std::time::Duration;
 
-/// The reason of a refusal, as a label.
+/// Labels of a refusal.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabel {
     reason: &'static str,
@@ -23,21 +23,21 @@
     refusals: Family<ReasonLabel, Counter>,
     /// Attempts submitted to agents.
     pub(crate) attempts: Counter,
-    /// Answers resumed on another target after some tokens.
+    /// Responses resumed at another target after some tokens.
     pub(crate) resumes: Counter,
-    /// Output tokens of answers that were completed.
+    /// Output tokens of completed responses.
     pub(crate) goodput_tokens: Counter,
-    /// Prompt tokens of answers that were completed.
+    /// Prompt tokens of completed responses.
     pub(crate) prompt_tokens: Counter,
-    /// Requests open now.
+    /// Open requests.
     pub(crate) open: Gauge,
-    /// Streams cut because the caller read too slowly or vanished.
-    pub(crate) vanished: Counter,
-    /// The end of the applied part of the config stream.
+    /// Streams abandoned because the caller disconnected or read too slowly.
+    pub(crate) vanished_callers: Counter,
+    /// Offset up to which the config stream is applied.
     pub(crate) config_offset: Gauge,
-    /// Records of the config stream that are not applied yet.
+    /// Records of the config stream that are not applied yet, as of the last read.
     pub(crate) log_lag: Gauge,
-    /// Seconds since the log last showed the configuration to be complete.
+    /// Seconds since the log last showed the configuration to be complete; -1 if it never did.
     pub(crate) log_age: Gauge,
     duration: Histogram,
     first_token: Histogram,
@@ -54,7 +54,7 @@
             goodput_tokens: Counter::default(),
             prompt_tokens: Counter::default(),
             open: Gauge::default(),
-            vanished: Counter::default(),
+            vanished_callers: Counter::default(),
             config_offset: Gauge::default(),
             log_lag: Gauge::default(),
             log_age: Gauge::default(),
@@ -76,8 +76,8 @@
         let prompt = "Prompt tokens of completed answers";
         registry.register("prompt_tokens", prompt, self.prompt_tokens.clone());
         registry.register("open_requests", "Requests open now", self.open.clone());
-        let vanished = "Answers given up because the caller vanished or read too slowly";
-        registry.register("vanished_callers", vanished, self.vanished.clone());
+        let vanished_callers = "Answers given up because the caller vanished or read too slowly";
+        registry.register("vanished_callers", vanished_callers, self.vanished_callers.clone());
         let offset = "End of the applied part of the config stream";
         registry.register("config_offset_records", offset, self.config_offset.clone());
         let lag = "Records of the config stream that are not applied yet, as of the last read";
@@ -91,23 +91,23 @@
         self
     }
 
-    /// Counts a request that got no complete answer.
-    pub(crate) fn refused(&self, reason: Reason, run: crate::Run) {
-        let label = ReasonLabel { reason: reason.name(), run: run.name() };
+    /// Counts a request without a complete response.
+    pub(crate) fn request_refused(&self, reason: Reason, execution: crate::Execution) {
+        let label = ReasonLabel { reason: reason.name(), run: execution.name() };
         self.refusals.get_or_create(&label).inc();
     }
 
-    /// Notes how long a whole answer took.
-    pub(crate) fn finished(&self, took: Duration) {
-        self.duration.observe(took.as_secs_f64());
+    /// Records the duration of a complete response.
+    pub(crate) fn record_duration(&self, duration: Duration) {
+        self.duration.observe(duration.as_secs_f64());
     }
 
-    /// Notes how long the first token took.
-    pub(crate) fn first_token(&self, took: Duration) {
-        self.first_token.observe(took.as_secs_f64());
+    /// Records the time to the first token.
+    pub(crate) fn record_first_token(&self, duration: Duration) {
+        self.first_token.observe(duration.as_secs_f64());
     }
 
-    /// The text that Prometheus reads.
+    /// Returns the metrics in Prometheus' text format.
     pub(crate) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -1,53 +1,54 @@
-//! How a caller is told that its request gets no complete answer: RFC 9457 problem details, or
-//! OpenAI's error object on its routes.
+//! Responses to requests that fail: RFC 9457 problem details, or OpenAI's error object on its
+//! routes.
 
 use crate::Reason;
-use crate::outcome::{Failure, Run, Trail};
+use crate::outcome::{AttemptHistory, Execution, Failure};
 use salvo::Response;
 use salvo::http::{HeaderValue, header};
 use serde_json::json;
 use std::time::Duration;
 
-/// The final answer to a request that gets no complete one.
+/// The final result of a request without a complete response.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Problem {
     pub(crate) reason: Reason,
-    pub(crate) run: Run,
+    pub(crate) execution: Execution,
     pub(crate) retry_after: Option<Duration>,
     pub(crate) detail: String,
 }
 
 impl Problem {
-    /// A request that was refused before any attempt.
+    /// Creates the problem of a request that was refused before any attempt.
     pub(crate) fn not_run(reason: Reason, detail: impl Into<String>) -> Self {
-        Self::new(Failure::not_run(reason, detail), &Trail::new(true))
+        Self::new(Failure::not_run(reason, detail), &AttemptHistory::new(true))
     }
 
-    /// A request whose last attempt failed, after those on the trail.
-    pub(crate) fn new(failure: Failure, trail: &Trail) -> Self {
-        let mut trail = *trail;
-        trail.note(failure.progress);
+    /// Creates the problem of a request whose last attempt failed, given its earlier attempts.
+    pub(crate) fn new(failure: Failure, history: &AttemptHistory) -> Self {
+        let mut history = *history;
+        history.record(failure.progress);
         let Failure { reason, retry_after, detail, .. } = failure;
-        // That its answer is gone does not make it unknown whether such a call ran.
-        let run = if reason == Reason::AnswerNotKept { Run::Run } else { trail.run() };
-        Self { reason, run, retry_after, detail }
+        // The call is known to have been executed, although its response was not recorded.
+        let execution =
+            if reason == Reason::AnswerNotKept { Execution::Run } else { history.execution() };
+        Self { reason, execution, retry_after, detail }
     }
 
-    /// The body on OpenAI's routes.
+    /// Returns the body on OpenAI's routes.
     pub(crate) fn openai(&self) -> serde_json::Value {
         json!({"error": {
             "message": self.detail, "type": "lapismast", "code": self.reason.name(),
-            "run": self.run.name(),
+            "run": self.execution.name(),
         }})
     }
 
-    /// The body on all other routes.
+    /// Returns the body on all other routes.
     fn details(&self) -> serde_json::Value {
         let name = self.reason.name();
         json!({
             "type": format!("urn:lapismast:{name}"), "title": name,
             "status": self.reason.status().as_u16(), "detail": self.detail,
-            "reason": name, "run": self.run.name(),
+            "reason": name, "run": self.execution.name(),
         })
     }
 
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -1,7 +1,7 @@
-//! How far the other processes have applied the configuration, as their own words tell it.
+//! Tracks how far the other processes have applied the configuration, as they report it.
 //!
-//! Agents say it with each load, entries through the agents that hear them. From this operators
-//! learn whether a change is in force everywhere, and which process lags.
+//! Agents report it with their load, entries through the agents that they are connected to.
+//! Operators use it to see whether a change is in force everywhere, and which process lags.
 
 use compact_str::{CompactString, ToCompactString};
 use plat::Offset;
@@ -11,62 +11,63 @@
 use tokio::time::Instant;
 use wire::{Load, Sighting};
 
-/// What another process last said of itself.
+/// The last reported status of another process.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Process {
-    /// The entry's name, or the name of the target that the agent stands beside.
+pub struct ProcessStatus {
+    /// The entry's name, or the name of the agent's target.
     pub name: CompactString,
     /// The offset up to which it has applied the `config` stream.
     pub config_offset: Offset,
-    /// How long ago it said so.
+    /// Time since the report.
     pub age: Duration,
     /// The target's load, if it is an agent.
     pub load: Option<Load>,
 }
 
-/// What the other processes last said of themselves.
+/// The last reported status of each other process.
 #[derive(Default)]
 pub(crate) struct Processes {
     agents: Mutex<HashMap<CompactString, (Load, Instant)>>,
     entries: Mutex<HashMap<CompactString, (Offset, Instant)>>,
 }
 
-/// After what silence an entry counts as gone: several of the rounds in which agents are asked.
-const ENTRY_SILENCE: Duration = Duration::from_secs(20);
+/// Time without a report after which an entry is considered gone; it covers several rounds of
+/// queries to agents.
+const ENTRY_EXPIRY: Duration = Duration::from_secs(20);
 
 impl Processes {
-    /// Notes what the agent at an address says.
-    pub(crate) fn hear_agent(&self, address: &CompactString, load: &Load) {
+    /// Records the load reported by the agent at `address`.
+    pub(crate) fn observe_agent(&self, address: &CompactString, load: &Load) {
         let mut agents = self.agents();
         match agents.get_mut(address) {
-            Some(heard) => *heard = (load.clone(), Instant::now()),
+            Some(reported) => *reported = (load.clone(), Instant::now()),
             None => {
                 agents.insert(address.clone(), (load.clone(), Instant::now()));
             }
         }
     }
 
-    /// Notes what an agent says of the entries that it hears.
-    pub(crate) fn hear_entries(&self, sightings: &[Sighting]) {
+    /// Records the entries reported by an agent.
+    pub(crate) fn observe_entries(&self, sightings: &[Sighting]) {
         let now = Instant::now();
         let mut entries = self.entries();
         for sighting in sightings {
             let age = Duration::from_millis(sighting.age_ms);
             let at = now.checked_sub(age).unwrap_or(now);
-            let heard = (sighting.config_offset, at);
-            let known = entries.entry(sighting.entry.to_compact_string()).or_insert(heard);
-            // Several agents tell of one entry; an old sighting must not replace a newer one.
+            let reported = (sighting.config_offset, at);
+            let known = entries.entry(sighting.entry.to_compact_string()).or_insert(reported);
+            // Several agents report the same entry; an older report must not replace a newer one.
             if at >= known.1 {
-                *known = heard;
+                *known = reported;
             }
         }
     }
 
-    /// What the agent at an address last said.
-    pub(crate) fn agent(&self, target: &str, address: &CompactString) -> Option<Process> {
+    /// Returns the last reported status of the agent at `address`.
+    pub(crate) fn agent(&self, target: &str, address: &CompactString) -> Option<ProcessStatus> {
         let agents = self.agents();
         let (load, at) = agents.get(address)?;
-        Some(Process {
+        Some(ProcessStatus {
             name: target.into(),
             config_offset: load.config_offset,
             age: at.elapsed(),
@@ -74,17 +75,17 @@
         })
     }
 
-    /// The entries that were heard of lately.
-    pub(crate) fn entries_heard(&self) -> Vec<Process> {
+    /// Returns the entries that were seen recently.
+    pub(crate) fn recent_entries(&self) -> Vec<ProcessStatus> {
         let mut entries = self.entries();
-        entries.retain(|_, (_, at)| at.elapsed() < ENTRY_SILENCE);
-        let heard = entries.iter().map(|(name, (offset, at))| Process {
+        entries.retain(|_, (_, at)| at.elapsed() < ENTRY_EXPIRY);
+        let reported = entries.iter().map(|(name, (offset, at))| ProcessStatus {
             name: name.clone(),
             config_offset: *offset,
             age: at.elapsed(),
             load: None,
         });
-        heard.collect()
+        reported.collect()
     }
 
     fn agents(&self) -> MutexGuard<'_, HashMap<CompactString, (Load, Instant)>> {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -1,6 +1,6 @@
-//! What requests need of the configuration, in tables that are built once for each change.
+//! Indexes the configuration for requests; rebuilt after each change.
 //!
-//! Without it every request would walk all 4,500 callers and 700 targets.
+//! Without it, every request would search 4,500 callers and 700 targets.
 
 use crate::peer::Peer;
 use crate::peers::Peers;
@@ -14,20 +14,20 @@
 /// SHA-256 of a bearer token.
 pub(crate) type Digest = [u8; 32];
 
-/// The configuration at one offset, arranged for requests.
+/// The configuration at one offset, indexed for requests.
 #[derive(Default)]
-pub(crate) struct View {
-    /// The offset of the first record that is not in it.
+pub(crate) struct ConfigView {
+    /// The offset of the first record that is not applied.
     pub(crate) end: Offset,
-    callers: HashMap<Digest, Arc<Client>>,
-    open: Option<Arc<Client>>,
+    callers: HashMap<Digest, Arc<ConfiguredCaller>>,
+    anonymous: Option<Arc<ConfiguredCaller>>,
     models: HashMap<Name, Model>,
     services: HashMap<Name, Service>,
-    targets: HashMap<Name, Arc<Site>>,
+    targets: HashMap<Name, Arc<ConfiguredTarget>>,
 }
 
-/// A caller.
-pub(crate) struct Client {
+/// A configured caller.
+pub(crate) struct ConfiguredCaller {
     pub(crate) name: Name,
     pub(crate) spec: Caller,
     pub(crate) digest: Option<Digest>,
@@ -37,25 +37,25 @@
 #[derive(Default)]
 pub(crate) struct Model {
     pub(crate) version: Name,
-    pub(crate) sites: Vec<Arc<Site>>,
+    pub(crate) targets: Vec<Arc<ConfiguredTarget>>,
 }
 
 /// A plain service and its targets.
 pub(crate) struct Service {
-    /// Whether all its targets say that running a call twice does no harm.
+    /// Whether all its targets declare that a call may be executed more than once.
     pub(crate) repeatable: bool,
-    pub(crate) sites: Vec<Arc<Site>>,
+    pub(crate) targets: Vec<Arc<ConfiguredTarget>>,
 }
 
 /// A configured target and its agent.
-pub(crate) struct Site {
+pub(crate) struct ConfiguredTarget {
     pub(crate) name: Name,
     pub(crate) spec: Target,
     pub(crate) peer: Arc<Peer>,
 }
 
-impl View {
-    /// Arranges a configuration.
+impl ConfigView {
+    /// Builds the index of a configuration.
     pub(crate) fn new(config: &Config, peers: &Peers) -> Self {
         let mut view = Self { end: config.end(), ..Self::default() };
         for (name, caller) in config.callers() {
@@ -63,86 +63,91 @@
         }
         for entry in config.list(Kind::Model) {
             if let Spec::Model(model) = &entry.spec {
-                let model = Model { version: model.version.clone(), sites: Vec::new() };
+                let model = Model { version: model.version.clone(), targets: Vec::new() };
                 view.models.insert(entry.resource.name.clone(), model);
             }
         }
         for (name, target) in config.targets() {
             let peer = peers.get(&target.agent);
-            view.add_target(Arc::new(Site { name: name.clone(), spec: target.clone(), peer }));
+            view.add_target(Arc::new(ConfiguredTarget {
+                name: name.clone(),
+                spec: target.clone(),
+                peer,
+            }));
         }
         view
     }
 
-    /// The caller whose token has this digest, or the open one.
-    pub(crate) fn caller(&self, digest: Option<&Digest>) -> Option<&Arc<Client>> {
+    /// Returns the caller whose token has this digest, or the caller without a token.
+    pub(crate) fn caller(&self, digest: Option<&Digest>) -> Option<&Arc<ConfiguredCaller>> {
         match digest {
             Some(digest) => self.callers.get(digest),
-            None => self.open.as_ref(),
+            None => self.anonymous.as_ref(),
         }
     }
 
-    /// A model that is in the configuration.
+    /// Returns a configured model.
     pub(crate) fn model(&self, name: &str) -> Option<&Model> {
         self.models.get(name)
     }
 
-    /// The names of all models, in order.
+    /// Returns the names of all models, sorted.
     pub(crate) fn models(&self) -> Vec<&Name> {
         let mut names: Vec<_> = self.models.keys().collect();
         names.sort();
         names
     }
 
-    /// A plain service of which the configuration has at least one target.
+    /// Returns a plain service that has at least one configured target.
     pub(crate) fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// A configured target.
-    pub(crate) fn target(&self, name: &str) -> Option<&Arc<Site>> {
+    /// Returns a configured target.
+    pub(crate) fn target(&self, name: &str) -> Option<&Arc<ConfiguredTarget>> {
         self.targets.get(name)
     }
 
-    /// All configured targets.
-    pub(crate) fn targets(&self) -> impl Iterator<Item = &Arc<Site>> {
+    /// Returns all configured targets.
+    pub(crate) fn targets(&self) -> impl Iterator<Item = &Arc<ConfiguredTarget>> {
         self.targets.values()
     }
 
-    fn add_caller(&mut self, name: &Name, caller: &Caller) {
-        let digest = parse_digest(&caller.token_sha256);
-        let client = Client { name: name.clone(), spec: caller.clone(), digest };
-        let client = Arc::new(client);
+    fn add_caller(&mut self, name: &Name, spec: &Caller) {
+        let digest = parse_digest(&spec.token_sha256);
+        let caller = ConfiguredCaller { name: name.clone(), spec: spec.clone(), digest };
+        let caller = Arc::new(caller);
         match digest {
             Some(digest) => {
-                self.callers.entry(digest).or_insert(client);
+                self.callers.entry(digest).or_insert(caller);
             }
-            None if caller.token_sha256.is_empty() => {
-                self.open.get_or_insert(client);
+            None if spec.token_sha256.is_empty() => {
+                self.anonymous.get_or_insert(caller);
             }
-            // The configuration's own check lets no other digests in.
+            // Validation of the configuration admits no other digests.
             None => {}
         }
     }
 
-    fn add_target(&mut self, site: Arc<Site>) {
-        for model in &site.spec.models {
+    fn add_target(&mut self, target: Arc<ConfiguredTarget>) {
+        for model in &target.spec.models {
             if let Some(model) = self.models.get_mut(model) {
-                model.sites.push(site.clone());
+                model.targets.push(target.clone());
             }
         }
-        if !site.spec.is_engine() {
-            let fresh = || Service { repeatable: true, sites: Vec::new() };
-            let service = self.services.entry(site.spec.service.clone()).or_insert_with(fresh);
-            service.repeatable &= site.spec.repeatable;
-            service.sites.push(site.clone());
+        if !target.spec.is_engine() {
+            let new_service = || Service { repeatable: true, targets: Vec::new() };
+            let service =
+                self.services.entry(target.spec.service.clone()).or_insert_with(new_service);
+            service.repeatable &= target.spec.repeatable;
+            service.targets.push(target.clone());
         }
-        self.targets.insert(site.name.clone(), site);
+        self.targets.insert(target.name.clone(), target);
     }
 }
 
-impl Site {
-    /// Whether the configuration lets it have new work.
+impl ConfiguredTarget {
+    /// Whether the configuration allows new work for this target.
     pub(crate) fn is_active(&self) -> bool {
         match self.spec.phase {
             Phase::Active => true,
