--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -58,7 +58,7 @@
 
 /// One line of the audit trail.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct AuditEntry {
     /// The log's stream: `config` for operators, `system` for processes.
     pub stream: CompactString,
     /// The record's offset in it.
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Audit {
     /// What was done, each stream in its order.
-    pub acts: Vec<Act>,
+    pub acts: Vec<AuditEntry>,
     /// Where to read on in the `config` stream.
     pub config_end: Offset,
     /// Where to read on in the `system` stream.
--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -1,7 +1,7 @@
 //! The audit trail: operators' changes, and what processes did in the log.
 
 use crate::Context;
-use crate::api::{Act, Audit};
+use crate::api::{Audit, AuditEntry};
 use compact_str::format_compact;
 use plat::Offset;
 use serde_json::Value;
@@ -31,8 +31,8 @@
 
 fn trail(context: &Context, config_from: Offset, system_from: Offset) -> Audit {
     let (config, system) = (context.config.borrow().clone(), context.system.borrow().clone());
-    let changes = config.audit().filter(|audit| audit.offset >= config_from).map(change);
-    let acts = system.audit().filter(|act| act.offset >= system_from).map(act);
+    let changes = config.audit().filter(|entry| entry.offset >= config_from).map(config_entry);
+    let acts = system.audit().filter(|entry| entry.offset >= system_from).map(system_entry);
     Audit {
         acts: changes.chain(acts).collect(),
         config_end: config.end(),
@@ -40,40 +40,40 @@
     }
 }
 
-fn change(audit: &state::config::Audit) -> Act {
+fn config_entry(entry: &state::config::Audit) -> AuditEntry {
     let spec = |text: &Option<String>| -> Option<Value> {
         text.as_ref().and_then(|text| serde_json::from_str(text).ok())
     };
-    let what = match &audit.after {
-        Some(_) if audit.before.is_some() => "change",
+    let what = match &entry.after {
+        Some(_) if entry.before.is_some() => "change",
         Some(_) => "create",
         None => "delete",
     };
-    Act {
+    AuditEntry {
         stream: plat::CONFIG_STREAM.into(),
-        offset: audit.offset,
-        at_ms: audit.written_ms,
-        author: audit.author.as_str().into(),
-        subject: format_compact!("{}/{}", audit.kind, audit.name),
+        offset: entry.offset,
+        at_ms: entry.written_ms,
+        author: entry.author.as_str().into(),
+        subject: format_compact!("{}/{}", entry.kind, entry.name),
         what: what.to_owned(),
-        outcome: match &audit.outcome {
+        outcome: match &entry.outcome {
             Ok(generation) => format!("accepted as generation {generation}"),
             Err(refusal) => format!("refused: {refusal}"),
         },
-        before: spec(&audit.before),
-        after: spec(&audit.after),
+        before: spec(&entry.before),
+        after: spec(&entry.after),
     }
 }
 
-fn act(act: &state::system::Act) -> Act {
-    let outcome = if act.valid { "accepted" } else { "void: its author did not hold the scope" };
-    Act {
+fn system_entry(entry: &state::system::Act) -> AuditEntry {
+    let outcome = if entry.valid { "accepted" } else { "void: its author did not hold the scope" };
+    AuditEntry {
         stream: plat::SYSTEM_STREAM.into(),
-        offset: act.offset,
-        at_ms: act.written_ms,
-        author: act.author.clone(),
-        subject: act.subject.clone(),
-        what: act.what.to_string(),
+        offset: entry.offset,
+        at_ms: entry.written_ms,
+        author: entry.author.clone(),
+        subject: entry.subject.clone(),
+        what: entry.what.to_string(),
         outcome: outcome.to_owned(),
         before: None,
         after: None,
--- a/crates/admin/src/auth.rs
+++ b/crates/admin/src/auth.rs
@@ -7,14 +7,14 @@
 
 /// The rule for requests.
 #[derive(Clone)]
-pub enum Token {
+pub enum TokenCheck {
     /// All may use it: only for an address on loopback.
     Open,
     /// Only requests with the token of this digest may, SHA-256 in lower-case hexadecimal.
     Digest(CompactString),
 }
 
-impl Token {
+impl TokenCheck {
     /// The rule for an address and the digest in the settings, which may be empty on loopback
     /// only; elsewhere an empty digest lets nobody in.
     pub fn for_address(address: &str, digest: &str) -> Self {
--- a/crates/admin/src/context.rs
+++ b/crates/admin/src/context.rs
@@ -10,19 +10,19 @@
 
 /// Which of our programs a process is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sort {
+pub enum ProcessKind {
     /// An entry.
     Entry,
     /// The agent beside a target.
     Agent,
 }
 
-impl Sort {
+impl ProcessKind {
     /// The program's name.
     pub fn name(self) -> &'static str {
         match self {
-            Sort::Entry => "entry",
-            Sort::Agent => "agent",
+            ProcessKind::Entry => "entry",
+            ProcessKind::Agent => "agent",
         }
     }
 }
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Process {
     /// Which program it is.
-    pub sort: Sort,
+    pub kind: ProcessKind,
     /// The entry's name, or the name of the agent's target.
     pub name: CompactString,
     /// The offset up to which it has applied the `config` stream; none if it was not heard.
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -19,8 +19,8 @@
 mod server;
 mod status;
 
-pub use auth::Token;
+pub use auth::TokenCheck;
 pub use client::{Client, Error, Result};
-pub use context::{Context, Fleet, Process, Sort};
+pub use context::{Context, Fleet, Process, ProcessKind};
 pub use problem::Problem;
 pub use server::Server;
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -1,7 +1,7 @@
 //! The routes of the administration API.
 
 use crate::api::{Accepted, Explanation, Fleet, Lease, Order, Resource};
-use crate::{Context, Problem, Token, audit, status};
+use crate::{Context, Problem, TokenCheck, audit, status};
 use async_trait::async_trait;
 use compact_str::CompactString;
 use conf::{Generation, Kind, Name};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// All routes behind the token, and `/healthz` before it.
-pub(crate) fn router(context: Context, token: Token) -> Router {
+pub(crate) fn router(context: Context, token: TokenCheck) -> Router {
     let at = |path: &str| Router::with_path(path.to_owned());
     let call = |action| Call { context: context.clone(), action };
     let one = at("{kind}/{name}")
@@ -38,7 +38,7 @@
 
 /// Lets only requests with the token through.
 struct Guard {
-    token: Token,
+    token: TokenCheck,
 }
 
 #[async_trait]
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,6 +1,6 @@
 //! The administration API on its own address.
 
-use crate::{Context, Token, routes};
+use crate::{Context, TokenCheck, routes};
 use salvo::conn::tcp::TcpAcceptor;
 use salvo::fuse::FuseConfig;
 use salvo::{Router, Server as Salvo};
@@ -27,7 +27,7 @@
 
 impl Server {
     /// Binds `address` and puts the API behind the token.
-    pub async fn bind(address: &str, token: Token, context: Context) -> io::Result<Self> {
+    pub async fn bind(address: &str, token: TokenCheck, context: Context) -> io::Result<Self> {
         let socket = wire::listen(address).await?;
         let address = socket.local_addr()?;
         let router = routes::router(context, token);
@@ -40,7 +40,7 @@
     }
 
     /// The routes, for tests without a socket.
-    pub fn router(context: Context, token: Token) -> Router {
+    pub fn router(context: Context, token: TokenCheck) -> Router {
         routes::router(context, token)
     }
 
--- a/crates/admin/src/status.rs
+++ b/crates/admin/src/status.rs
@@ -1,7 +1,7 @@
 //! What has become of a resource: in force everywhere, and what it asks for reached.
 
 use crate::api::{Condition, Member, Resource, Status};
-use crate::{Process, Sort};
+use crate::{Process, ProcessKind};
 use compact_str::{CompactString, format_compact};
 use conf::resource::{Phase, Target};
 use conf::{Kind, Spec};
@@ -27,7 +27,7 @@
 fn status(entry: &Entry, processes: &[Process]) -> Status {
     let late = processes.iter().filter(|process| !has_applied(process, entry.offset));
     let lagging: Vec<CompactString> =
-        late.map(|process| format_compact!("{} {}", process.sort.name(), process.name)).collect();
+        late.map(|process| format_compact!("{} {}", process.kind.name(), process.name)).collect();
     let in_force = Condition {
         name: CompactString::const_new("in-force"),
         met: lagging.is_empty(),
@@ -59,7 +59,7 @@
 /// Whether the fleet is as the resource asks, or why not.
 fn reached(entry: &Entry, processes: &[Process]) -> Result<(), String> {
     let name = entry.resource.name.as_str();
-    let agents = || processes.iter().filter(|process| process.sort == Sort::Agent);
+    let agents = || processes.iter().filter(|process| process.kind == ProcessKind::Agent);
     match &entry.spec {
         Spec::Target(target) => match agents().find(|agent| agent.name == name) {
             Some(agent) if is_heard(agent) => target_reached(target, agent),
@@ -107,7 +107,7 @@
 /// A process as operators see it.
 pub(crate) fn member(process: Process) -> Member {
     Member {
-        sort: CompactString::const_new(process.sort.name()),
+        sort: CompactString::const_new(process.kind.name()),
         name: process.name,
         config_offset: process.config_offset,
         age_ms: process.age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
--- a/crates/admin/tests/operators.rs
+++ b/crates/admin/tests/operators.rs
@@ -1,6 +1,6 @@
 //! What operators are told, over a real socket of the administration API.
 
-use admin::{Client, Context, Error, Fleet, Process, Server, Sort, Token};
+use admin::{Client, Context, Error, Fleet, Process, ProcessKind, Server, TokenCheck};
 use async_trait::async_trait;
 use conf::{Kind, Resource};
 use fake::MemoryLog;
@@ -38,14 +38,14 @@
 /// SHA-256 of `dev-token`.
 const DIGEST: &str = "c91cbbedf8c712e8e2b7517ddeca8fe4fde839ebd8339e0b2001363002b37712";
 
-async fn desk(token: Token) -> Desk {
+async fn desk(token: TokenCheck) -> Desk {
     let log = MemoryLog::new();
     let shared = Arc::new(log.clone());
     let config = Follower::<Config>::new(shared.clone(), plat::CONFIG_STREAM.into());
     let system = Follower::<System>::new(shared.clone(), plat::SYSTEM_STREAM.into());
     let registry = Registry::new(Appender::new(shared, "entry-1".into()), config.state());
     let agent = One(Arc::new(Mutex::new(Process {
-        sort: Sort::Agent,
+        kind: ProcessKind::Agent,
         name: "engine-1".into(),
         config_offset: None,
         age: None,
@@ -86,7 +86,7 @@
 // or changed; an empty digest lets nobody in where others than this machine's users could be.
 #[tokio::test]
 async fn calls_without_the_token_are_refused() {
-    let desk = desk(Token::Digest(DIGEST.into())).await;
+    let desk = desk(TokenCheck::Digest(DIGEST.into())).await;
     for token in ["", "wrong", "dev-token2"] {
         let client = Client::new(&desk.address, token, "eve");
         let refused = [
@@ -104,15 +104,15 @@
     assert_eq!(desk.log.appends(), 0);
     let client = Client::new(&desk.address, "dev-token", "ana");
     assert_eq!(client.apply(&model(1), Some(0)).await.map_err(title).map(|a| a.generation), Ok(1));
-    assert!(matches!(Token::for_address("127.0.0.1:1", ""), Token::Open));
-    assert!(matches!(Token::for_address("10.0.0.1:1", ""), Token::Digest(_)));
+    assert!(matches!(TokenCheck::for_address("127.0.0.1:1", ""), TokenCheck::Open));
+    assert!(matches!(TokenCheck::for_address("10.0.0.1:1", ""), TokenCheck::Digest(_)));
 }
 
 // Two operators change one model at the same time, both from generation 1. One must win, and the
 // other must learn who was faster instead of undoing that change unseen.
 #[tokio::test]
 async fn of_two_operators_who_race_one_wins_and_the_other_is_told_who() {
-    let desk = desk(Token::Open).await;
+    let desk = desk(TokenCheck::Open).await;
     let (ana, ben) = (Client::new(&desk.address, "", "ana"), Client::new(&desk.address, "", "ben"));
     ana.apply(&model(1), Some(0)).await.expect("the name is free");
     let (theirs, ours) = (model(2), model(3));
@@ -134,7 +134,7 @@
 // change is not in force everywhere, and which process lags.
 #[tokio::test]
 async fn a_change_is_in_force_only_once_each_process_says_so() {
-    let desk = desk(Token::Open).await;
+    let desk = desk(TokenCheck::Open).await;
     let client = Client::new(&desk.address, "", "ana");
     let accepted = client.apply(&model(1), Some(0)).await.expect("the log is up");
     let mut seen = Vec::new();
@@ -161,7 +161,7 @@
 
 #[tokio::test]
 async fn wrong_calls_are_told_what_is_wrong() {
-    let desk = desk(Token::Open).await;
+    let desk = desk(TokenCheck::Open).await;
     let client = Client::new(&desk.address, "", "ana");
     let target = json!({"domain": "d", "agent": "10.0.0.1:1", "models": ["gone"]});
     let mut target = Resource { kind: Kind::Target, name: "t".into(), spec: target };
@@ -193,7 +193,7 @@
 
 #[tokio::test]
 async fn the_audit_trail_waits_for_news() {
-    let desk = desk(Token::Open).await;
+    let desk = desk(TokenCheck::Open).await;
     let client = Client::new(&desk.address, "", "ana");
     client.apply(&model(1), Some(0)).await.expect("the log is up");
     let first = client.audit(0, 0, Duration::ZERO).await.expect("the trail can be read");
--- a/crates/cli/src/api/audit.rs
+++ b/crates/cli/src/api/audit.rs
@@ -2,7 +2,7 @@
 
 use super::{output, output_arg};
 use admin::Client;
-use admin::api::Act;
+use admin::api::AuditEntry;
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use eyre::Result;
 use std::time::Duration;
@@ -45,13 +45,13 @@
     Ok(())
 }
 
-fn show(form: &str, acts: &[Act]) -> Result<()> {
+fn show(form: &str, acts: &[AuditEntry]) -> Result<()> {
     for act in acts {
         match form {
             "json" => println!("{}", serde_json::to_string(act)?),
             "yaml" => print!("---\n{}", serde_yaml_ng::to_string(act)?),
             _ => {
-                let Act { stream, offset, author, subject, what, outcome, .. } = act;
+                let AuditEntry { stream, offset, author, subject, what, outcome, .. } = act;
                 println!("{stream} {offset}  {author}  {subject}  {what}  {outcome}");
             }
         }
--- a/crates/cli/src/api/report.rs
+++ b/crates/cli/src/api/report.rs
@@ -50,10 +50,10 @@
 }
 
 /// The last acts without specs, which may hold digests.
-fn last(acts: &[admin::api::Act]) -> Vec<String> {
+fn last(acts: &[admin::api::AuditEntry]) -> Vec<String> {
     let last = acts.iter().skip(acts.len().saturating_sub(ACTS));
     let lines = last.map(|act| {
-        let admin::api::Act { stream, offset, author, subject, what, outcome, .. } = act;
+        let admin::api::AuditEntry { stream, offset, author, subject, what, outcome, .. } = act;
         format!("{stream} {offset} {author} {subject} {what}: {outcome}")
     });
     lines.collect()
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -202,17 +202,17 @@
     /// Waits until each entry knows all resources and hears all agents.
     async fn ready(&self) -> Result<()> {
         /// Far beyond what loopback needs; then something is wrong that is better said.
-        const PATIENCE: Duration = Duration::from_secs(10);
+        const READY_TIMEOUT: Duration = Duration::from_secs(10);
         for entry in &self.entries {
             let (agents, hearing) = (self.targets.len(), async {
                 while entry.processes().0.iter().filter(|(_, heard)| heard.is_some()).count()
                     < self.targets.len()
                 {
-                    entry.connect_all_agents(PATIENCE).await;
+                    entry.connect_all_agents(READY_TIMEOUT).await;
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             });
-            let heard = tokio::time::timeout(PATIENCE, hearing).await;
+            let heard = tokio::time::timeout(READY_TIMEOUT, hearing).await;
             heard.wrap_err_with(|| format!("an entry doesn't hear all {agents} agents"))?;
         }
         Ok(())
--- a/crates/cli/src/operators.rs
+++ b/crates/cli/src/operators.rs
@@ -1,6 +1,6 @@
 //! The administration API of an entry: what it sees of the fleet, and where it listens.
 
-use admin::{Context, Process, Server, Sort, Token};
+use admin::{Context, Process, ProcessKind, Server, TokenCheck};
 use async_trait::async_trait;
 use compact_str::{CompactString, ToCompactString};
 use conf::settings;
@@ -19,20 +19,22 @@
 
 /// How long to wait for agents that the entry is not connected to, so that an agent that is gone
 /// doesn't hold up the answer for long.
-const HEAR_PATIENCE: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[async_trait]
 impl admin::Fleet for Fleet {
     async fn processes(&self) -> Vec<Process> {
-        self.entry.connect_all_agents(HEAR_PATIENCE).await;
+        self.entry.connect_all_agents(CONNECT_TIMEOUT).await;
         let (agents, entries) = self.entry.processes();
-        let agents = agents.into_iter().map(|(name, heard)| process(Sort::Agent, name, heard));
+        let agents =
+            agents.into_iter().map(|(name, status)| process(ProcessKind::Agent, name, status));
         let entries = entries.into_iter();
-        let entries = entries.map(|heard| process(Sort::Entry, heard.name.clone(), Some(heard)));
+        let entries =
+            entries.map(|status| process(ProcessKind::Entry, status.name.clone(), Some(status)));
         let own = Process {
             config_offset: Some(self.entry.config().borrow().end()),
             age: Some(Duration::ZERO),
-            ..process(Sort::Entry, self.name.clone(), None)
+            ..process(ProcessKind::Entry, self.name.clone(), None)
         };
         agents.chain([own]).chain(entries).collect()
     }
@@ -54,14 +56,18 @@
     }
 }
 
-fn process(sort: Sort, name: CompactString, heard: Option<entry::ProcessStatus>) -> Process {
-    let (config_offset, age) = match &heard {
-        Some(heard) => (Some(heard.config_offset), Some(heard.age)),
+fn process(
+    kind: ProcessKind,
+    name: CompactString,
+    status: Option<entry::ProcessStatus>,
+) -> Process {
+    let (config_offset, age) = match &status {
+        Some(status) => (Some(status.config_offset), Some(status.age)),
         None => (None, None),
     };
-    let load = heard.and_then(|heard| heard.load).unwrap_or_default();
+    let load = status.and_then(|status| status.load).unwrap_or_default();
     Process {
-        sort,
+        kind,
         name,
         config_offset,
         age,
@@ -84,7 +90,7 @@
     let fleet = Arc::new(Fleet { entry: entry.clone(), name: name.clone() });
     let (config, system) = (entry.config(), entry.system());
     let context = Context { name, config, system, registry, fleet };
-    let token = Token::for_address(&settings.admin, &settings.admin_token_sha256);
+    let token = TokenCheck::for_address(&settings.admin, &settings.admin_token_sha256);
     let server = Server::bind(&settings.admin, token, context).await;
     server.wrap_err_with(|| format!("listen for operators at {}", settings.admin))
 }
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -11,7 +11,9 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
-use target::{Engine, Error, Fence, Finish, Job, Order, Output, Outputs, Result, Status, Usage};
+use target::{
+    Engine, Error, FencingToken, Finish, Job, Order, Output, Outputs, Result, Status, Usage,
+};
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
 /// Length of each token of the stand-in's answers, in bytes.
@@ -102,7 +104,7 @@
     imported: HashMap<CompactString, Bytes>,
     prefixes: HashSet<u64>,
     down: bool,
-    orders: Vec<(Fence, Order)>,
+    orders: Vec<(FencingToken, Order)>,
     conflicts: u32,
     crashes: u32,
     started: u64,
@@ -162,7 +164,7 @@
     }
 
     /// The orders that took effect, in the order in which they did.
-    pub fn orders(&self) -> Vec<(Fence, Order)> {
+    pub fn orders(&self) -> Vec<(FencingToken, Order)> {
         self.lock().orders.clone()
     }
 
@@ -378,7 +380,7 @@
         Ok(())
     }
 
-    async fn order(&self, fence: Fence, order: &Order) -> Result<()> {
+    async fn order(&self, fence: FencingToken, order: &Order) -> Result<()> {
         let model = self.up("order")?;
         {
             let mut inner = self.lock();
--- a/crates/fake/src/http/engine.rs
+++ b/crates/fake/src/http/engine.rs
@@ -8,7 +8,7 @@
 use salvo::http::{HeaderValue, StatusCode, header};
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router};
 use std::sync::Arc;
-use target::http::shapes::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
+use target::http::bodies::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
 use target::{Engine, Error, Finish, Job, Output, Outputs};
 
 /// Serves an engine by the OpenAI-compatible protocol and the order routes.
--- a/crates/itest/examples/latency.rs
+++ b/crates/itest/examples/latency.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use target::http::HttpService;
-use target::{Engine, Fence, Finish, Job, Order, Output, Outputs, Result, Status, Usage};
+use target::{Engine, FencingToken, Finish, Job, Order, Output, Outputs, Result, Status, Usage};
 use tokio_util::sync::CancellationToken;
 use wire::{TcpDialler, TcpListener};
 
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    async fn order(&self, _: Fence, _: &Order) -> Result<()> {
+    async fn order(&self, _: FencingToken, _: &Order) -> Result<()> {
         Ok(())
     }
 
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -1,6 +1,6 @@
 //! A language-model engine.
 
-use crate::{Fence, Order, Result};
+use crate::{FencingToken, Order, Result};
 use async_trait::async_trait;
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -88,7 +88,7 @@
     /// Jobs waiting inside the engine.
     pub waiting: u32,
     /// The newest fencing number it has seen, 0 if it ignores them.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Changes each time the engine starts.
     pub incarnation: u64,
 }
@@ -103,7 +103,7 @@
     async fn cancel(&self, id: &str) -> Result<()>;
 
     /// Carries out an order and returns when it is in force.
-    async fn order(&self, fence: Fence, order: &Order) -> Result<()>;
+    async fn order(&self, fence: FencingToken, order: &Order) -> Result<()>;
 
     /// Reads the engine's real state.
     async fn status(&self) -> Result<Status>;
--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -3,10 +3,10 @@
 //! - [`HttpEngine`]: OpenAI-compatible completions plus the order routes.
 //! - [`HttpService`]: any HTTP service.
 
+pub mod bodies;
 mod engine;
 mod exchange;
 mod service;
-pub mod shapes;
 
 pub use engine::HttpEngine;
 pub use service::HttpService;
--- a/crates/target/src/http/shapes.rs
+++ b/crates/target/src/http/bodies.rs
@@ -1,6 +1,6 @@
 //! JSON bodies of the engine protocol, shared with the stand-in engine.
 
-use crate::{Fence, Order, Usage};
+use crate::{FencingToken, Order, Usage};
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OrderBody {
     /// The fencing number.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// The order.
     pub order: Order,
 }
@@ -71,5 +71,5 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FencedBody {
     /// The newest fencing number seen.
-    pub newest: Fence,
+    pub newest: FencingToken,
 }
--- a/crates/target/src/http/engine.rs
+++ b/crates/target/src/http/engine.rs
@@ -1,8 +1,10 @@
 //! An engine that speaks the OpenAI-compatible protocol and the order routes.
 
+use super::bodies::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
 use super::exchange::{Exchange, JSON};
-use super::shapes::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
-use crate::{Engine, Error, Fence, Finish, Job, Order, Output, Outputs, Result, Status, Usage};
+use crate::{
+    Engine, Error, FencingToken, Finish, Job, Order, Output, Outputs, Result, Status, Usage,
+};
 use async_trait::async_trait;
 use bytes::{Buf, Bytes, BytesMut};
 use compact_str::CompactString;
@@ -57,7 +59,7 @@
         self.exchange.json("cancel", "DELETE", &path, Bytes::new()).await.map(drop)
     }
 
-    async fn order(&self, fence: Fence, order: &Order) -> Result<()> {
+    async fn order(&self, fence: FencingToken, order: &Order) -> Result<()> {
         const STEP: &str = "order";
         let body = OrderBody { fence, order: order.clone() };
         let body = serde_json::to_vec(&body).map_err(|e| self.exchange.not_reached(STEP, &e))?;
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -12,5 +12,5 @@
 
 pub use engine::{Engine, Finish, Job, Output, Outputs, Status, Usage};
 pub use error::{Error, Result};
-pub use order::{Fence, Order};
+pub use order::{FencingToken, Order};
 pub use service::{Call, Header, Parts, Response, Service};
--- a/crates/target/src/order.rs
+++ b/crates/target/src/order.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The fencing number of an order: its offset in the log.
-pub type Fence = u64;
+pub type FencingToken = u64;
 
 /// One order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
