--- a/crates/target/src/http.rs
+++ b/crates/target/src/http.rs
@@ -1,4 +1,4 @@
-//! Engines and services over HTTP.
+//! Clients of engines and services over HTTP.
 //!
 //! - [`HttpEngine`]: OpenAI-compatible completions plus the order routes.
 //! - [`HttpService`]: any HTTP service.
--- a/crates/target/src/http/bodies.rs
+++ b/crates/target/src/http/bodies.rs
@@ -7,25 +7,25 @@
 /// Body of `POST /v1/completions`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompletionBody {
-    /// What is served, such as `model` or `model+adapter`.
+    /// The served name to use, such as `model` or `model+adapter`.
     pub model: CompactString,
     /// The prompt.
     pub prompt: String,
-    /// The most tokens to generate, resumed ones among them.
+    /// The maximum number of tokens to generate, including those before a resume.
     pub max_tokens: u32,
-    /// Always true: we read streams.
+    /// Always true: the client reads only streams.
     pub stream: bool,
     /// The job's id.
     pub request_id: CompactString,
-    /// Higher goes first.
+    /// The job's priority; a higher one is scheduled first.
     pub priority: u32,
-    /// Text generated before, when a stream is resumed.
+    /// Text that was generated before, when a stream is resumed.
     #[serde(default)]
     pub resume_text: String,
-    /// Tokens of that text.
+    /// Length of `resume_text` in tokens.
     #[serde(default)]
     pub resume_tokens: u32,
-    /// Sampling parameters, as the caller gave them.
+    /// Sampling parameters as the caller sent them.
     #[serde(flatten)]
     pub sampling: serde_json::Map<String, serde_json::Value>,
 }
@@ -33,9 +33,9 @@
 /// One event of a streamed completion.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Chunk {
-    /// Always one choice, or none in the event that carries the usage.
+    /// One choice, or none in the event that carries the usage.
     pub choices: Vec<Choice>,
-    /// What was used; in the last event.
+    /// Token usage; only in the last event.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
@@ -61,15 +61,15 @@
 /// Body of `POST /orders`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct OrderBody {
-    /// The fencing number.
+    /// The fencing token.
     pub fence: FencingToken,
     /// The order.
     pub order: Order,
 }
 
-/// Body of the 409 answer to an order with an old fencing number.
+/// Body of the response with status 409 to an order with an old fencing token.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FencedBody {
-    /// The newest fencing number seen.
+    /// The newest fencing token that the engine has seen.
     pub newest: FencingToken,
 }
--- a/crates/target/src/http/engine.rs
+++ b/crates/target/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that speaks the OpenAI-compatible protocol and the order routes.
+//! Client of an engine with the OpenAI-compatible protocol and the order routes.
 
 use super::bodies::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
 use super::exchange::{Exchange, JSON};
@@ -13,14 +13,14 @@
 use hyper::StatusCode;
 use hyper::body::Incoming;
 
-/// An engine at an address.
+/// The client of one engine.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     exchange: Exchange,
 }
 
 impl HttpEngine {
-    /// Makes a client of the engine at `address`, `host:port`.
+    /// Creates a client of the engine at `address` (`host:port`).
     pub fn new(address: CompactString) -> Self {
         Self { exchange: Exchange::new(address) }
     }
@@ -30,7 +30,7 @@
     }
 }
 
-/// Priorities as the engine reads them.
+/// Values of `priority` in the engine's protocol; a higher one is scheduled first.
 const URGENT_PRIORITY: u32 = 10;
 const ORDINARY_PRIORITY: u32 = 1;
 
@@ -108,8 +108,8 @@
     }
 }
 
-/// What is left to read of a streamed completion.
-struct Reading {
+/// The rest of a streamed completion that has not been read yet.
+struct CompletionStream {
     exchange: Exchange,
     body: Incoming,
     buffer: BytesMut,
@@ -120,24 +120,24 @@
 
 fn outputs(exchange: Exchange, body: Incoming) -> Outputs {
     let buffer = BytesMut::new();
-    let reading = Reading { exchange, body, buffer, finish: None, usage: None, done: false };
-    Box::pin(stream::unfold(reading, |mut reading| async move {
-        if reading.done {
+    let rest = CompletionStream { exchange, body, buffer, finish: None, usage: None, done: false };
+    Box::pin(stream::unfold(rest, |mut rest| async move {
+        if rest.done {
             return None;
         }
-        let output = reading.next().await;
-        reading.done = !matches!(output, Ok(Output::Text { .. }));
-        Some((output, reading))
+        let output = rest.next().await;
+        rest.done = !matches!(output, Ok(Output::Text { .. }));
+        Some((output, rest))
     }))
 }
 
 const STEP: &str = "read stream";
 
-/// The longest event accepted, in bytes, so that a broken engine can't fill our memory.
+/// The longest event accepted, in bytes, so that a faulty engine cannot exhaust the memory.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-impl Reading {
-    /// Reads on until there is text or the end.
+impl CompletionStream {
+    /// Reads until there is text or the generation ends.
     async fn next(&mut self) -> Result<Output> {
         loop {
             while let Some(data) = take_event(&mut self.buffer) {
@@ -160,6 +160,7 @@
         }
     }
 
+    /// Applies the data of one event; none if it carries neither text nor the end.
     fn event(&mut self, data: &[u8]) -> Result<Option<Output>> {
         if data == b"[DONE]" {
             let (Some(finish), Some(usage)) = (self.finish, self.usage) else {
@@ -184,7 +185,7 @@
     }
 }
 
-/// Takes the next whole event off the buffer and returns its data; comments are passed over.
+/// Removes the next complete event from the buffer and returns its data; skips comments.
 fn take_event(buffer: &mut BytesMut) -> Option<Bytes> {
     loop {
         let end = buffer.windows(2).position(|pair| pair == b"\n\n")?;
--- a/crates/target/src/http/exchange.rs
+++ b/crates/target/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange with a target, with errors that tell whether it was reached.
+//! HTTP exchanges with a target, with errors that distinguish whether it was reached.
 
 use crate::{Error, Result};
 use bytes::Bytes;
@@ -9,30 +9,31 @@
 use hyper_util::client::legacy::{Client, connect::HttpConnector};
 use hyper_util::rt::TokioExecutor;
 
-/// A client of one target.
+/// The HTTP client of one target.
 #[derive(Debug, Clone)]
 pub(super) struct Exchange {
     client: Client<HttpConnector, Full<Bytes>>,
     peer: CompactString,
 }
 
-/// The most bytes of a refusal's body that go into an error.
+/// The maximum number of bytes of a refusal's body that are copied into an error.
 const MAX_REASON_BYTES: usize = 512;
 
 impl Exchange {
-    /// Makes a client of the target at `peer`, `host:port`.
+    /// Creates a client of the target at `peer` (`host:port`).
     pub(super) fn new(peer: CompactString) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        // A reused connection may be closed just as a call is written to it, and the client would
-        // then send the call again by itself: a second run of a call that may not be repeated.
+        // A reused connection may be closed just as a call is written to it. With its default
+        // settings the client would then retry the call, and a call that is not idempotent could
+        // be executed twice.
         let client = Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build::<_, Full<Bytes>>(connector);
         Self { client, peer }
     }
 
-    /// Sends a request and returns the response once its head is there, whatever its status.
+    /// Sends a request and returns the response, with any status, once its head was received.
     pub(super) async fn send(
         &self,
         step: &'static str,
@@ -57,13 +58,14 @@
         })
     }
 
-    /// Reads a body whole.
+    /// Reads a whole body.
     pub(super) async fn collect(&self, step: &'static str, body: Incoming) -> Result<Bytes> {
         let body = body.collect().await.map_err(|error| self.broken(step, &error))?;
         Ok(body.to_bytes())
     }
 
-    /// Sends JSON and reads JSON; any status but success is a refusal.
+    /// Sends a request with a JSON body and returns the body of the response; a status other than
+    /// success is a refusal.
     pub(super) async fn json(
         &self,
         step: &'static str,
--- a/crates/target/src/http/service.rs
+++ b/crates/target/src/http/service.rs
@@ -1,4 +1,4 @@
-//! A plain service over HTTP.
+//! Client of a plain service over HTTP.
 
 use super::exchange::Exchange;
 use crate::{Call, Header, Response, Result, Service};
@@ -8,14 +8,14 @@
 use futures_util::StreamExt;
 use http_body_util::BodyDataStream;
 
-/// A service at an address.
+/// The client of one service.
 #[derive(Debug, Clone)]
 pub struct HttpService {
     exchange: Exchange,
 }
 
 impl HttpService {
-    /// Makes a client of the service at `address`, `host:port`.
+    /// Creates a client of the service at `address` (`host:port`).
     pub fn new(address: CompactString) -> Self {
         Self { exchange: Exchange::new(address) }
     }
@@ -43,7 +43,7 @@
     }
 
     async fn probe(&self) -> Result<()> {
-        let nothing = std::iter::empty::<(CompactString, Bytes)>();
-        self.exchange.send("probe", "GET", "/healthz", nothing, Bytes::new()).await.map(drop)
+        let no_headers = std::iter::empty::<(CompactString, Bytes)>();
+        self.exchange.send("probe", "GET", "/healthz", no_headers, Bytes::new()).await.map(drop)
     }
 }
--- a/crates/target/src/lib.rs
+++ b/crates/target/src/lib.rs
@@ -1,8 +1,8 @@
-//! Targets as their agent sees them: language-model engines and plain services.
+//! The interfaces between an agent and its target: a language-model engine or a plain service.
 //!
-//! [`Engine`] and [`Service`] are the borders; [`http`] meets the OpenAI-compatible protocol with
-//! the small set of order routes that `docs/ENGINES.md` describes. An engine of another shape is
-//! met by adding one file.
+//! [`Engine`] and [`Service`] are the traits; [`http`] implements them for the OpenAI-compatible
+//! protocol with the small set of order routes that `docs/ENGINES.md` describes. An engine with
+//! another protocol is supported by adding one file.
 
 mod engine;
 mod error;
--- a/crates/target/src/order.rs
+++ b/crates/target/src/order.rs
@@ -4,16 +4,16 @@
 use conf::resource::Role;
 use serde::{Deserialize, Serialize};
 
-/// The fencing number of an order: its offset in the log.
+/// The fencing token of an order: its offset in the log.
 pub type FencingToken = u64;
 
 /// One order to an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Order {
-    /// Change the role.
+    /// Change the engine's role.
     SetRole {
-        /// The role to take.
+        /// The role that the engine is to have.
         role: Role,
     },
     /// Load weights and serve them under a name.
@@ -25,7 +25,7 @@
     },
     /// Stop serving a name and free its memory.
     Unload {
-        /// The name.
+        /// The name under which the weights are served.
         serve: CompactString,
     },
 }
--- a/crates/target/src/service.rs
+++ b/crates/target/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service.
+//! The interface of a plain service.
 
 use crate::Result;
 use async_trait::async_trait;
@@ -22,7 +22,7 @@
     pub method: CompactString,
     /// Path and query, beginning with `/`.
     pub path: String,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: Vec<Header>,
     /// The body.
     pub body: Bytes,
@@ -35,18 +35,18 @@
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// Headers that are passed on.
+    /// Headers that are forwarded.
     pub headers: Vec<Header>,
-    /// The body, piece by piece.
+    /// The body as a stream of pieces.
     pub body: Parts,
 }
 
 /// An instance of a plain service.
 #[async_trait]
 pub trait Service: Send + Sync {
-    /// Performs one call and returns when the response's head is there.
+    /// Performs one call and returns once the head of the response has been received.
     async fn call(&self, call: Call) -> Result<Response>;
 
-    /// Finds out whether the service is up.
+    /// Checks whether the service answers.
     async fn probe(&self) -> Result<()>;
 }
