--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -1,4 +1,4 @@
-//! Parsing of YAML with errors that help: place, path and the nearest valid name.
+//! Parsing of YAML; errors give the line, the field's path and the nearest valid name.
 
 use crate::document::{self, Document};
 use crate::resource::{Adapter, Caller, Kind, Model, Policy, Resource, Target, Version};
@@ -18,15 +18,15 @@
             Some(at) => format_compact!("line {}, {path}", at.line()),
             None => format_compact!("{path}"),
         };
-        Error::Syntax { place, detail: with_nearest(bare(&inner.to_string())) }
+        Error::Syntax { place, detail: with_nearest(strip_place(&inner.to_string())) }
     })
 }
 
-/// The path of the document itself.
+/// The path that `serde_path_to_error` gives for the document itself.
 const ROOT: &str = ".";
 
-/// The parser's message without the place that it puts around it and we have already.
-fn bare(message: &str) -> &str {
+/// Removes the path and the line from the parser's message; `Error::Syntax` has them in `place`.
+fn strip_place(message: &str) -> &str {
     let message = message.rsplit_once(" at line ").map_or(message, |(message, _)| message);
     match message.split_once(": ") {
         Some((path, rest)) if !path.contains([' ', '`']) => rest,
@@ -36,18 +36,19 @@
 
 /// Parses and checks the resources of a file, which may hold several documents.
 ///
-/// Unlike [`Resource::check`], which only sees a resource's JSON, errors name the file's line.
+/// Unlike those of [`Resource::check`], which has only the JSON of a resource, errors give the
+/// line of the file.
 pub fn resources(text: &str) -> Result<Vec<Resource>> {
     document::split(text).iter().map(resource).collect()
 }
 
-/// What a resource is, whatever its spec holds.
+/// The kind of a resource; its other fields are ignored.
 #[derive(Deserialize)]
 struct Head {
     kind: Kind,
 }
 
-/// A resource with the spec of its kind, so that errors in it know their line.
+/// A resource with the spec of its kind, parsed as YAML so that errors in the spec have a line.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Typed<T> {
@@ -70,12 +71,12 @@
         Kind::Policy => parse::<Typed<Policy>>(text).map(drop)?,
     }
     let resource: Resource = parse(text)?;
-    resource.check().map_err(|error| placed(document, error))?;
+    resource.check().map_err(|error| with_line(document, error))?;
     Ok(resource)
 }
 
-/// Adds the line to the error of a value that breaks a rule.
-fn placed(document: &Document, error: Error) -> Error {
+/// Adds the line to the error of an invalid value, if it can be found.
+fn with_line(document: &Document, error: Error) -> Error {
     match error {
         Error::Invalid { path, detail } => match document.line_of(&path) {
             Some(line) => Error::Syntax { place: format_compact!("line {line}, {path}"), detail },
@@ -97,13 +98,13 @@
     }
 }
 
-/// Finds the candidate most like `wrong`, if any is alike enough to be meant.
+/// Finds the candidate most similar to `wrong`, if one is similar enough to be a likely typo.
 pub fn nearest<'a>(wrong: &str, candidates: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    /// Below this likeness (0 to 1) a suggestion is more confusing than none.
-    const ALIKE: f64 = 0.7;
+    /// Below this Jaro-Winkler similarity (0 to 1) a suggestion is more confusing than none.
+    const MIN_SIMILARITY: f64 = 0.7;
     candidates
         .map(|name| (strsim::jaro_winkler(wrong, name), name))
-        .filter(|(likeness, _)| *likeness >= ALIKE)
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, name)| name)
 }
--- a/crates/conf/src/document.rs
+++ b/crates/conf/src/document.rs
@@ -1,19 +1,19 @@
-//! The documents of a YAML file, each with the line at which it begins.
+//! Splits a YAML file into its documents and keeps the line numbers of the file.
 
 /// One document of a file that may hold several.
 pub(crate) struct Document {
-    /// The document's text with an empty line for each line before it, so that a parser counts
-    /// lines as the file's reader does.
+    /// The document's text, preceded by an empty line for each line of the file before it, so
+    /// that the line numbers of the parser are those of the file.
     pub(crate) text: String,
 }
 
-/// Splits a file at its `---` lines; documents with nothing but comments are left out.
+/// Splits a file at its `---` lines; omits documents that hold only comments.
 pub(crate) fn split(text: &str) -> Vec<Document> {
     let mut documents = Vec::new();
     let mut current = String::new();
     for (number, line) in text.lines().enumerate() {
         if line.trim_end() == "---" || line.starts_with("--- ") {
-            keep(&mut documents, std::mem::take(&mut current));
+            push_unless_empty(&mut documents, std::mem::take(&mut current));
             current = "\n".repeat(number);
             current.push_str(line.strip_prefix("---").unwrap_or_default());
         } else {
@@ -21,20 +21,20 @@
         }
         current.push('\n');
     }
-    keep(&mut documents, current);
+    push_unless_empty(&mut documents, current);
     documents
 }
 
-fn keep(documents: &mut Vec<Document>, text: String) {
-    let says_something = |line: &str| !line.trim().is_empty() && !line.trim().starts_with('#');
-    if text.lines().any(says_something) {
+fn push_unless_empty(documents: &mut Vec<Document>, text: String) {
+    let has_content = |line: &str| !line.trim().is_empty() && !line.trim().starts_with('#');
+    if text.lines().any(has_content) {
         documents.push(Document { text });
     }
 }
 
 impl Document {
-    /// The line, from 1, of the field at `path` below the document's root, if it stands on a line
-    /// of its own.
+    /// Finds the line, counted from 1, of the field at `path` below the document's root, if the
+    /// field begins a line.
     pub(crate) fn line_of(&self, path: &str) -> Option<usize> {
         let mut at = 0;
         for part in path.split('.') {
--- a/crates/conf/src/resource.rs
+++ b/crates/conf/src/resource.rs
@@ -1,6 +1,6 @@
 //! The kinds of resources that operators publish.
 //!
-//! In YAML a resource is `kind`, `name` and `spec`. In the log the spec travels as JSON.
+//! In YAML a resource consists of `kind`, `name` and `spec`. The log stores the spec as JSON.
 
 use crate::{Error, Name, Result};
 use compact_str::CompactString;
@@ -14,24 +14,24 @@
 pub enum Kind {
     /// A language model that engines can load.
     Model,
-    /// A fine-tuned addition to a model.
+    /// A fine-tuned adapter of a model.
     Adapter,
     /// A version of a model's weights.
     Version,
-    /// An engine or a plain service's instance, with its agent.
+    /// An engine or an instance of a plain service, with its agent.
     Target,
-    /// Someone who sends requests.
+    /// A client of the fleet that sends requests.
     Caller,
-    /// The weights and bounds of decisions, for one pool or for all.
+    /// The parameters of the planner's decisions, for one pool or for all.
     Policy,
 }
 
 impl Kind {
-    /// All kinds, in the order in which they refer to each other.
+    /// All kinds; those that others refer to come first.
     pub const ALL: [Kind; 6] =
         [Kind::Model, Kind::Adapter, Kind::Version, Kind::Target, Kind::Caller, Kind::Policy];
 
-    /// The kind's name as operators write it.
+    /// The kind's name in resource files.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Model => "Model",
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Finds the kind by its name, in any case.
+    /// Finds a kind by its name, ignoring case.
     pub fn from_name(name: &str) -> Result<Self> {
         let found = Self::ALL.into_iter().find(|kind| kind.name().eq_ignore_ascii_case(name));
         found.ok_or_else(|| {
@@ -69,7 +69,7 @@
     pub spec: serde_json::Value,
 }
 
-/// The checked desired state of a resource.
+/// The validated desired state of a resource.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Spec {
     /// Of a [`Kind::Model`].
@@ -90,10 +90,10 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The version in service; empty for the one that engines start with.
+    /// The version to serve; empty for the one that engines start with.
     #[serde(default)]
     pub version: Name,
-    /// The most tokens that prompt and output may have together.
+    /// The maximum number of tokens of prompt and output together.
     #[serde(default = "default_context")]
     pub context_tokens: u32,
 }
@@ -102,11 +102,11 @@
     32_768
 }
 
-/// A fine-tuned addition to a model.
+/// A fine-tuned adapter of a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// The model it belongs to.
+    /// The model that it belongs to.
     pub model: Name,
     /// Its name in the weight store.
     pub artifact: CompactString,
@@ -116,23 +116,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
-    /// The model it belongs to.
+    /// The model that it belongs to.
     pub model: Name,
     /// Its name in the weight store.
     pub artifact: CompactString,
 }
 
-/// Which part of the work an engine does.
+/// The part of the inference that an engine performs.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Reads prompts, then hands their KV cache on.
+    /// Prefills prompts and transfers their KV cache to a decode engine.
     Prefill,
-    /// Generates output from KV cache that was handed on.
+    /// Generates output from transferred KV cache.
     Decode,
-    /// Does both.
+    /// Prefill and decode.
     #[default]
     Mixed,
 }
@@ -148,16 +148,16 @@
     }
 }
 
-/// Whether a target takes part.
+/// The stage of a target's life in the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It is being made ready and gets no work yet.
+    /// It is being prepared and gets no work yet.
     Joining,
-    /// It works.
+    /// It is in service.
     #[default]
     Active,
-    /// It finishes what it has and gets no new work.
+    /// It finishes the requests that it has and gets no new ones.
     Leaving,
 }
 
@@ -167,33 +167,33 @@
 pub struct Target {
     /// The failure domain of its VM.
     pub domain: CompactString,
-    /// The pool, such as a region, whose planner gives it orders.
+    /// The pool, such as a region, whose planner issues its orders.
     #[serde(default = "default_pool")]
     pub pool: CompactString,
     /// The agent's address for entries, `host:port`.
     pub agent: CompactString,
-    /// The models it can serve, if it is an engine.
+    /// The models that it can serve, if it is an engine.
     #[serde(default)]
     pub models: Vec<Name>,
-    /// The adapters it must have loaded.
+    /// The adapters that it must have loaded.
     #[serde(default)]
     pub adapters: Vec<Name>,
-    /// The plain service it is an instance of, if it isn't an engine.
+    /// The plain service that it is an instance of, if it is not an engine.
     #[serde(default)]
     pub service: Name,
-    /// The role an operator fixes, or none to let the planner choose.
+    /// The role that an operator has fixed; if none, the planner chooses it.
     #[serde(default)]
     pub role: Option<Role>,
-    /// Whether it takes part.
+    /// The stage of its life in the fleet.
     #[serde(default)]
     pub phase: Phase,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether its calls may be repeated; a service only.
+    /// Whether its calls are idempotent and may be retried; only for a service.
     #[serde(default)]
     pub repeatable: bool,
-    /// How many requests it runs side by side.
+    /// The number of requests that it runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -206,27 +206,29 @@
     16
 }
 
-/// Someone who sends requests.
+/// A client of the fleet that sends requests, with its limits.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// SHA-256 of the bearer token in hexadecimal; empty lets requests without a token in.
+    /// SHA-256 of the bearer token in hexadecimal; if empty, requests without a token are accepted
+    /// as this caller's.
     #[serde(default)]
     pub token_sha256: CompactString,
-    /// The caller's share of the fleet against others, when it is full.
+    /// The caller's share of a full fleet, relative to other callers' weights.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Tokens (prompt and output) a second that it may use on average, 0 for no limit.
+    /// The average number of tokens (prompt and output) per second that it may use, 0 for no
+    /// limit.
     #[serde(default)]
     pub tokens_per_second: u32,
-    /// Requests that it may have open at a time, 0 for no limit.
+    /// The number of requests that it may have open at a time, 0 for no limit.
     #[serde(default)]
     pub concurrency: u32,
     /// Whether it may send urgent requests.
     #[serde(default)]
     pub urgent: bool,
-    /// How long it waits for a first token, if a request does not say.
+    /// How long it waits for the first token, if the request does not set a deadline.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(default = "default_deadline", rename = "deadline_ms")]
     pub deadline: Duration,
@@ -240,26 +242,26 @@
     Duration::from_secs(30)
 }
 
-/// The weights and bounds of decisions.
+/// The parameters of the planner's decisions.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// Tokens of goodput that one change of role must win, beyond those lost while it lasts.
+    /// The goodput in tokens that a role change must gain, beyond the goodput lost while it lasts.
     pub role_change_cost_tokens: u64,
-    /// How far ahead the planner weighs a change of role.
+    /// How far ahead the planner estimates the gain of a role change.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "horizon_ms")]
     pub horizon: Duration,
-    /// How long an engine keeps a role at least.
+    /// The minimum time that an engine keeps a role.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "dwell_ms")]
     pub dwell: Duration,
-    /// How long an engine is out of service while it changes role.
+    /// How long an engine is out of service during a role change.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "role_change_ms")]
     pub role_change: Duration,
-    /// How many engines may change role at a time in one pool.
+    /// The number of engines of a pool that may change their role at the same time.
     pub role_changes_at_once: u32,
     /// Roles that operators fix for engines, by target name.
     pub roles: BTreeMap<Name, Role>,
@@ -285,7 +287,8 @@
         documents.iter().map(|document| crate::check::parse(&document.text)).collect()
     }
 
-    /// Checks the spec by the rules of its kind; all readers of the log use this same rule.
+    /// Validates the spec by the rules of its kind. All readers of the log use this method, so that
+    /// they accept the same changes.
     pub fn check(&self) -> Result<Spec> {
         check_name("name", &self.name)?;
         let spec = match self.kind {
@@ -312,7 +315,7 @@
 }
 
 impl Spec {
-    /// Checks the values against each other.
+    /// Validates the values, also against each other.
     fn check(&self) -> Result<()> {
         match self {
             Spec::Target(target) => target.check(),
@@ -363,7 +366,7 @@
 const DIGEST_CHARS: usize = 64;
 
 pub(crate) fn check_digest(path: &str, digest: &str) -> Result<()> {
-    // Upper case would never match the digest that a token is compared by.
+    // Tokens are compared by their digest in lower case, which upper case would never match.
     let valid = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
     if digest.len() != DIGEST_CHARS || !digest.chars().all(valid) {
         let detail = "a SHA-256 digest has 64 hexadecimal digits in lower case";
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a process is told at its start.
+//! The settings that a process reads at its start.
 
 use crate::{Error, Name, Result};
 use compact_str::CompactString;
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-/// Where the platform's services are, and how long to wait for them.
+/// The addresses of the platform's services and the timeout of calls to them.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
@@ -18,7 +18,7 @@
     pub weights: CompactString,
     /// The address of the list of VMs, `host:port`.
     pub vms: CompactString,
-    /// How long one call may take.
+    /// The timeout of one call.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "timeout_ms")]
     pub timeout: Duration,
@@ -44,19 +44,19 @@
     pub name: Name,
     /// The failure domain of its VM.
     pub domain: CompactString,
-    /// Where callers connect, `host:port`.
+    /// The address that callers connect to, `host:port`.
     pub callers: CompactString,
-    /// Where operators connect, `host:port`.
+    /// The address that operators connect to, `host:port`; empty for none.
     pub admin: CompactString,
     /// The secret shared by all processes of the fleet.
     pub peer_key: CompactString,
     /// SHA-256 of the operators' bearer token in hexadecimal.
     pub admin_token_sha256: CompactString,
-    /// Addresses of agents to fetch the state from when the log is out.
+    /// Addresses of agents to fetch the state from when the log is unavailable.
     pub peers: Vec<CompactString>,
-    /// The platform.
+    /// The platform's services.
     pub platform: Platform,
-    /// How long a stop may wait for requests in flight.
+    /// The maximum time that a stop waits for requests in flight.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "drain_ms")]
     pub drain: Duration,
@@ -78,7 +78,7 @@
     }
 }
 
-/// What stands behind an agent.
+/// The kind of target that an agent serves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Backend {
@@ -96,25 +96,25 @@
 pub struct Agent {
     /// The process's name, unique in the fleet.
     pub name: Name,
-    /// The Target resource that it stands beside.
+    /// The name of its Target resource.
     pub target: Name,
     /// The failure domain of its VM.
     pub domain: CompactString,
-    /// Where entries connect, `host:port`.
+    /// The address that entries connect to, `host:port`.
     pub peers_listen: CompactString,
-    /// Where metrics are read, `host:port`.
+    /// The address that metrics are read from, `host:port`; empty for none.
     pub metrics: CompactString,
-    /// What the target is: `engine` or `service`.
+    /// The kind of the target: `engine` or `service`.
     pub backend: Backend,
     /// The target's own address, `host:port`.
     pub target_address: CompactString,
     /// The secret shared by all processes of the fleet.
     pub peer_key: CompactString,
-    /// Addresses of other agents to fetch the state from when the log is out.
+    /// Addresses of other agents to fetch the state from when the log is unavailable.
     pub peers: Vec<CompactString>,
-    /// The platform.
+    /// The platform's services.
     pub platform: Platform,
-    /// How long a stop may wait for requests in flight.
+    /// The maximum time that a stop waits for requests in flight.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "drain_ms")]
     pub drain: Duration,
@@ -139,14 +139,14 @@
 }
 
 impl Entry {
-    /// Parses the settings and checks their values.
+    /// Parses the settings and validates them.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: Self = crate::check::parse(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks the values against each other.
+    /// Validates the values, also against each other.
     pub fn check(&self) -> Result<()> {
         crate::resource::check_name("name", &self.name)?;
         crate::resource::check_name("domain", &self.domain)?;
@@ -162,14 +162,14 @@
 }
 
 impl Agent {
-    /// Parses the settings and checks their values.
+    /// Parses the settings and validates them.
     pub fn parse(text: &str) -> Result<Self> {
         let settings: Self = crate::check::parse(text)?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Checks the values against each other.
+    /// Validates the values, also against each other.
     pub fn check(&self) -> Result<()> {
         crate::resource::check_name("name", &self.name)?;
         crate::resource::check_name("target", &self.target)?;
@@ -197,7 +197,8 @@
     }
 }
 
-/// Processes reach each other by IP numbers, so that no name service stands in between.
+/// Checks that an address has an IP number, so that connections between processes do not depend on
+/// a name service.
 fn check_address(path: &str, address: &str) -> Result<SocketAddr> {
     address.parse().map_err(|_| {
         let detail = format!("`{address}` is no IP number and port, such as 10.0.0.1:7001");
@@ -212,8 +213,8 @@
         .try_for_each(|(index, peer)| check_address(&format!("peers[{index}]"), peer).map(drop))
 }
 
-/// Without a key anyone who reaches a peer port could run requests past all limits and read
-/// answers. Only a process on loopback, where strangers are not, may do without.
+/// Checks that there is a key, unless the process listens on loopback. Without a key, anyone who
+/// can connect to a peer port could run requests past all limits and read answers.
 fn check_peer_key(key: &str, listens: &str) -> Result<()> {
     if key.is_empty() && !is_loopback(listens) {
         let detail = format!(
@@ -224,7 +225,8 @@
     Ok(())
 }
 
-/// Without a token anyone who reaches the port could change resources.
+/// Checks that there is a token unless the address is on loopback. Without a token, anyone who can
+/// connect to the port could change resources.
 fn check_admin(address: &str, digest: &str) -> Result<()> {
     const PATH: &str = "admin_token_sha256";
     if digest.is_empty() && !is_loopback(address) {
@@ -238,7 +240,7 @@
     Ok(())
 }
 
-/// Whether only processes of the same machine reach an address.
+/// Whether an address can be reached only from the same machine.
 pub fn is_loopback(address: &str) -> bool {
     address.parse::<SocketAddr>().map(|socket| socket.ip()).is_ok_and(|ip: IpAddr| ip.is_loopback())
 }
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,8 +1,8 @@
-//! What an operator is told of a file that is wrong, and that no file at all makes a process fail.
+//! Errors of wrong settings and resource files, and that no input makes the parsers panic.
 
 use conf::{check, settings};
 
-fn wrong(text: &str) -> String {
+fn error_of(text: &str) -> String {
     check::resources(text).expect_err("the file is wrong").to_string()
 }
 
@@ -19,24 +19,24 @@
         "kind: Caller\nspec: {}\n".to_owned(),
         "kind: Caller\nname: [\n".to_owned(),
     ];
-    let told: Vec<String> = cases.iter().map(|text| wrong(text)).collect();
-    insta::assert_snapshot!(told.join("\n"));
+    let errors: Vec<String> = cases.iter().map(|text| error_of(text)).collect();
+    insta::assert_snapshot!(errors.join("\n"));
 }
 
 #[test]
-fn several_documents_of_a_file_are_read_whatever_stands_between_them() {
+fn documents_are_read_whatever_separates_them() {
     let text = "---\n# nothing\n---\nkind: Model\nname: a\nspec: {}\n--- # b\nkind: Model\nname: b\nspec: {}\n---\n";
     let all = check::resources(text).expect("the file is right");
     assert_eq!(all.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
     assert_eq!(all, conf::Resource::parse_all(text).expect("the file is right"));
 }
 
-// An operator copies the settings of a trial on one machine to a VM and forgets the key. Were the
-// process to start, anyone in the network could run requests past all limits.
+// Settings of a trial on one machine are copied to a VM without setting a key. A process that
+// started like this would let anyone in the network run requests past all limits.
 #[test]
 fn a_process_that_strangers_can_reach_needs_a_key_and_operators_a_token() {
     let digest = "0".repeat(64);
-    let told = [
+    let results = [
         "callers: 10.0.0.1:8080\n".to_owned(),
         "admin: 10.0.0.1:8081\npeer_key: k\n".to_owned(),
         "admin: 10.0.0.1:8081\npeer_key: k\nadmin_token_sha256: ABC\n".to_owned(),
@@ -50,7 +50,7 @@
         Ok(_) => "ok".to_owned(),
         Err(error) => error.to_string(),
     });
-    insta::assert_snapshot!(told.join("\n"));
+    insta::assert_snapshot!(results.join("\n"));
     assert!(settings::Agent::parse("peers_listen: 10.0.0.1:7001\n").is_err());
     assert!(settings::Agent::parse("peers_listen: 10.0.0.1:7001\npeer_key: k\n").is_ok());
 }
@@ -59,7 +59,7 @@
 fn arbitrary_bytes_are_read_as_settings_and_resources_without_a_panic() {
     bolero::check!().for_each(|bytes: &[u8]| {
         let text = String::from_utf8_lossy(bytes);
-        // Only that there is an answer matters here, not which.
+        // Any result is accepted; only a panic fails the test.
         let _ = check::resources(&text);
         let _ = settings::Entry::parse(&text);
         let _ = settings::Agent::parse(&text);
@@ -68,7 +68,7 @@
 
 #[test]
 fn files_that_are_nearly_right_are_read_without_a_panic() {
-    let words = [
+    let fragments = [
         "kind: ",
         "Target",
         "Caller",
@@ -108,7 +108,7 @@
     ];
     bolero::check!().with_type::<Vec<u8>>().for_each(|picks| {
         let text: String =
-            picks.iter().map(|pick| words[usize::from(*pick) % words.len()]).collect();
+            picks.iter().map(|pick| fragments[usize::from(*pick) % fragments.len()]).collect();
         let _ = check::resources(&text);
         let _ = settings::Agent::parse(&text);
     });
