--- a/crates/cli/src/api.rs
+++ b/crates/cli/src/api.rs
@@ -1,4 +1,4 @@
-//! The operators' commands over the administration API, one module each.
+//! The operators' commands, which use the administration API; one module each.
 
 mod apply;
 mod audit;
@@ -14,7 +14,7 @@
 use conf::Kind;
 use eyre::{Result, WrapErr, eyre};
 
-/// All commands.
+/// All operators' commands.
 pub(crate) fn commands() -> [Command; 7] {
     [
         apply::command(),
@@ -25,29 +25,29 @@
         explain::command(),
         report::command(),
     ]
-    .map(connected)
+    .map(with_connection)
 }
 
-/// What the help says of reaching an entry.
-const HELP: &str = "\
-The entry is that of --admin or LAPISMAST_ADMIN. The token is read from the file of --token-file
-or from LAPISMAST_TOKEN, never from the command line, where other users of the machine see it.
+/// Help on the connection to an entry and on exit codes.
+const CONNECTION_HELP: &str = "\
+The entry's address is --admin or LAPISMAST_ADMIN. The token is read from the file of --token-file
+or from LAPISMAST_TOKEN, never from the command line, which other users of the machine can see.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line, 5 another change got in first, 6 there is no
-such thing, 7 not reached in time.";
+Exit codes: 0 done, 1 failed, 2 wrong command line, 5 conflict with another change, 6 not found,
+7 not reached in time.";
 
-fn connected(command: Command) -> Command {
+fn with_connection(command: Command) -> Command {
     let option = |name: &'static str, value: &'static str, help: &'static str| {
         Arg::new(name).long(name).value_name(value).help(help)
     };
     command
-        .after_help(HELP)
+        .after_help(CONNECTION_HELP)
         .arg(option("admin", "HOST:PORT", "An entry's address for operators [127.0.0.1:8081]"))
         .arg(option("token-file", "FILE", "A file with the operators' token"))
         .arg(option("operator", "NAME", "Your name in the audit trail [the user's name]"))
 }
 
-/// Runs the command `name`, if it is one of these.
+/// Runs the operators' command `name`.
 pub(crate) fn run(name: &str, matches: &ArgMatches) -> Result<()> {
     let client = client(matches)?;
     runtime()?.block_on(async {
@@ -64,12 +64,12 @@
 }
 
 fn client(matches: &ArgMatches) -> Result<Client> {
-    let given = |name: &str| matches.get_one::<String>(name).cloned();
+    let option = |name: &str| matches.get_one::<String>(name).cloned();
     let variable = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
-    let admin = given("admin").or_else(|| variable("LAPISMAST_ADMIN"));
+    let admin = option("admin").or_else(|| variable("LAPISMAST_ADMIN"));
     let admin = admin.unwrap_or_else(|| "127.0.0.1:8081".to_owned());
-    let operator = given("operator").or_else(|| variable("USER")).unwrap_or_default();
-    let token = match given("token-file") {
+    let operator = option("operator").or_else(|| variable("USER")).unwrap_or_default();
+    let token = match option("token-file") {
         Some(file) => {
             let text = std::fs::read_to_string(&file);
             text.wrap_err_with(|| format!("read {file}"))?.trim().to_owned()
@@ -88,7 +88,7 @@
         .help("The resource, such as Target/engine-1")
 }
 
-/// Reads `KIND/NAME`.
+/// Parses the argument `KIND/NAME`.
 fn resource_of(matches: &ArgMatches) -> Result<(Kind, String)> {
     let text: &String = matches.get_one("resource").ok_or_else(|| eyre!("no resource"))?;
     let (kind, name) = text
@@ -97,14 +97,14 @@
     Ok((Kind::from_name(kind)?, name.to_owned()))
 }
 
-/// The argument for the form of the output.
+/// The argument for the output format.
 fn output_arg() -> Arg {
     Arg::new("output")
         .short('o')
         .long("output")
         .value_parser(["table", "yaml", "json"])
         .default_value("table")
-        .help("Form of the output")
+        .help("Output format")
 }
 
 fn output(matches: &ArgMatches) -> &str {
--- a/crates/cli/src/api/apply.rs
+++ b/crates/cli/src/api/apply.rs
@@ -9,7 +9,7 @@
 /// The arguments of `apply`.
 pub(crate) fn command() -> Command {
     Command::new("apply")
-        .about("Publishes the resources of a file; done once the log has accepted them")
+        .about("Publishes the resources of a file; returns once the log has accepted them")
         .arg(
             Arg::new("file")
                 .short('f')
@@ -23,7 +23,7 @@
 /// The arguments of `delete`.
 pub(crate) fn delete_command() -> Command {
     Command::new("delete")
-        .about("Deletes a resource that no other refers to")
+        .about("Deletes a resource that no other resource refers to")
         .arg(resource_arg())
         .arg(
             Arg::new("expects")
@@ -34,7 +34,7 @@
         )
 }
 
-/// Publishes each resource that differs from the one in force.
+/// Publishes each resource that differs from the current one.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
     let file: &String = matches.get_one("file").ok_or_else(|| eyre!("no file"))?;
     let text = match file.as_str() {
@@ -60,10 +60,10 @@
         println!("{}/{name}: unchanged", kind.name());
         return Ok(());
     }
-    // The generation that was seen goes along, so that a change by another operator in between
-    // is a conflict and not undone unseen.
-    let seen = before.map_or(0, |before| before.generation);
-    let accepted = client.apply(resource, Some(seen)).await?;
+    // The generation that was read is sent along, so that a change by another operator in between
+    // is a conflict and is not overwritten unnoticed.
+    let expected = before.map_or(0, |before| before.generation);
+    let accepted = client.apply(resource, Some(expected)).await?;
     println!("{}/{name}: generation {}", kind.name(), accepted.generation);
     Ok(())
 }
--- a/crates/cli/src/api/audit.rs
+++ b/crates/cli/src/api/audit.rs
@@ -1,4 +1,4 @@
-//! `lapismast audit [--follow]`: who did what, and what came of it.
+//! `lapismast audit [--follow]`: who did what, and the outcome.
 
 use super::{output, output_arg};
 use admin::Client;
@@ -15,18 +15,18 @@
             Arg::new("follow")
                 .long("follow")
                 .action(ArgAction::SetTrue)
-                .help("Goes on with what is done from now on, until it is interrupted"),
+                .help("Continues with new entries until it is interrupted"),
         )
         .arg(output_arg())
 }
 
-/// How long one call waits for news.
+/// How long one call waits for new entries.
 const WAIT: Duration = Duration::from_secs(20);
 
 /// How long to wait after a failed call while following.
 const RETRY_WAIT: Duration = Duration::from_secs(1);
 
-/// Shows the trail, and follows it if told to.
+/// Prints the trail, and follows it with `--follow`.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
     let form = output(matches);
     let mut trail = client.audit(0, 0, Duration::ZERO).await?;
--- a/crates/cli/src/api/explain.rs
+++ b/crates/cli/src/api/explain.rs
@@ -7,16 +7,16 @@
 /// The subcommand's arguments.
 pub(crate) fn command() -> Command {
     Command::new("explain")
-        .about("Says where a recent request was sent and why; ask the entry that took it")
+        .about("Shows where a recent request was sent and why; ask the entry that received it")
         .arg(
             Arg::new("request")
                 .value_name("REQUEST-ID")
                 .required(true)
-                .help("The id that the caller got with the answer"),
+                .help("The id that the caller received with the answer"),
         )
 }
 
-/// Shows what the entry and the agents know of the request.
+/// Prints the records of the entry and the agents about the request.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
     let request: &String = matches.get_one("request").ok_or_else(|| eyre!("no request"))?;
     let explanation = client.explain(request).await?;
--- a/crates/cli/src/api/get.rs
+++ b/crates/cli/src/api/get.rs
@@ -20,7 +20,7 @@
         .arg(output_arg())
 }
 
-/// Reads and shows.
+/// Reads the requested items and prints them.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
     let kind: &String = matches.get_one("kind").ok_or_else(|| eyre!("no kind"))?;
     let form = output(matches);
@@ -45,7 +45,7 @@
     Ok(())
 }
 
-/// As YAML, resources come in the form that `apply` reads, with their status as a comment.
+/// Prints resources; as YAML in the form that `apply` reads, with their status as a comment.
 fn show_resources(form: &str, resources: &[Resource]) -> Result<()> {
     if form != "yaml" {
         return show(form, resources, table);
--- a/crates/cli/src/api/report.rs
+++ b/crates/cli/src/api/report.rs
@@ -1,4 +1,4 @@
-//! `lapismast bug-report`: what a maintainer needs to know, without secrets.
+//! `lapismast bug-report`: the state that a maintainer needs to see, without secrets.
 
 use admin::Client;
 use clap::Command;
@@ -11,10 +11,10 @@
         .about("Prints version, fleet, resources, orders, audit trail and metrics for a bug report")
 }
 
-/// How many lines of the audit trail are printed.
+/// The number of audit entries that are printed.
 const AUDIT_ENTRIES: usize = 50;
 
-/// Prints what can be learnt; a part that fails says so and doesn't stop the others.
+/// Prints all parts; for a part that can't be read the error is printed, and the others follow.
 pub(crate) async fn run(client: &Client) -> Result<()> {
     println!("# Version\n\nlapismast {} on {}\n", clap::crate_version!(), std::env::consts::OS);
     part("Fleet", client.fleet().await)?;
@@ -39,7 +39,8 @@
     Ok(())
 }
 
-/// A digest lets whoever has it try tokens at leisure, and reports are often public.
+/// Hides the digests of tokens: with a digest tokens can be guessed offline, and reports are often
+/// public.
 fn without_digests(mut resources: Vec<admin::api::Resource>) -> Vec<admin::api::Resource> {
     for resource in &mut resources {
         if let Some(digest) = resource.spec.get_mut("token_sha256") {
@@ -49,7 +50,7 @@
     resources
 }
 
-/// The last acts without specs, which may hold digests.
+/// Formats the last audit entries without specs, which may hold digests.
 fn last(entries: &[admin::api::AuditEntry]) -> Vec<String> {
     let last = entries.iter().skip(entries.len().saturating_sub(AUDIT_ENTRIES));
     let lines = last.map(|entry| {
--- a/crates/cli/src/api/table.rs
+++ b/crates/cli/src/api/table.rs
@@ -6,7 +6,7 @@
 }
 
 impl Table {
-    /// Makes a table with its heading.
+    /// Creates a table with a heading and no rows.
     pub(super) fn new(heading: &[&str]) -> Self {
         Self { rows: vec![heading.iter().map(ToString::to_string).collect()] }
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,5 +1,5 @@
-//! `lapismast check FILE` and `lapismast settings FILE`: what is wrong in a file, and what a
-//! settings file amounts to.
+//! `lapismast check FILE` and `lapismast settings FILE`: the errors of a file, and the effective
+//! settings.
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use conf::settings;
@@ -8,10 +8,10 @@
 /// The arguments of `check`.
 pub(crate) fn command() -> Command {
     Command::new("check")
-        .about("Says what is wrong in a settings or resource file")
+        .about("Checks a settings or resource file and reports what is wrong")
         .after_help(
-            "Nothing is sent anywhere. Unknown fields are errors, and a typo is answered with the \
-             nearest valid name.",
+            "The file is checked locally. Unknown fields are errors, and for a typo the nearest \
+             valid name is suggested.",
         )
         .arg(file_arg())
         .arg(as_arg(&["resources", "entry", "agent"], "resources"))
@@ -20,14 +20,16 @@
 /// The arguments of `settings`.
 pub(crate) fn settings_command() -> Command {
     Command::new("settings")
-        .about("Shows the effective settings of an entry or agent: the file's and the defaults")
+        .about(
+            "Shows the effective settings of an entry or agent: the file's, or else the defaults",
+        )
         .arg(file_arg().required(false))
         .arg(as_arg(&["entry", "agent"], "entry"))
         .arg(
             Arg::new("print")
                 .long("print")
                 .action(ArgAction::SetTrue)
-                .help("Print them as YAML; without it the file is only checked"),
+                .help("Prints the settings as YAML; without it the file is only checked"),
         )
 }
 
@@ -40,10 +42,10 @@
         .long("as")
         .value_parser(kinds.to_vec())
         .default_value(default)
-        .help("What it holds")
+        .help("What the file holds")
 }
 
-/// Checks the file and prints `ok`, or fails with what is wrong.
+/// Checks the file and prints `ok`, or fails with the first error.
 pub(crate) fn run(matches: &ArgMatches) -> Result<()> {
     let file: &String = matches.get_one("file").ok_or_else(|| eyre!("no file"))?;
     let text = std::fs::read_to_string(file).wrap_err_with(|| format!("read {file}"))?;
@@ -64,15 +66,15 @@
         Some(file) => std::fs::read_to_string(file).wrap_err_with(|| format!("read {file}"))?,
         None => "{}".to_owned(),
     };
-    let place = || file.cloned().unwrap_or_else(|| "defaults".to_owned());
+    let source = || file.cloned().unwrap_or_else(|| "defaults".to_owned());
     let yaml = match kind(matches) {
         "agent" => {
-            let mut settings = settings::Agent::parse(&text).wrap_err_with(place)?;
+            let mut settings = settings::Agent::parse(&text).wrap_err_with(source)?;
             hide(&mut settings.peer_key);
             serde_yaml_ng::to_string(&settings)?
         }
         _ => {
-            let mut settings = settings::Entry::parse(&text).wrap_err_with(place)?;
+            let mut settings = settings::Entry::parse(&text).wrap_err_with(source)?;
             hide(&mut settings.peer_key);
             serde_yaml_ng::to_string(&settings)?
         }
@@ -80,7 +82,7 @@
     if matches.get_flag("print") {
         print!("{yaml}");
     } else {
-        println!("{}: ok", place());
+        println!("{}: ok", source());
     }
     Ok(())
 }
@@ -89,7 +91,7 @@
     matches.get_one::<String>("as").map_or("", String::as_str)
 }
 
-/// The key would otherwise end up in tickets and terminal logs.
+/// Hides a key, which would otherwise end up in tickets and terminal logs.
 fn hide(key: &mut compact_str::CompactString) {
     if !key.is_empty() {
         *key = compact_str::CompactString::const_new("(hidden)");
--- a/crates/cli/src/daemons.rs
+++ b/crates/cli/src/daemons.rs
@@ -16,26 +16,26 @@
 
 /// The arguments of `entry`.
 pub(crate) fn entry_command() -> Command {
-    daemon("entry", "Runs an entry: callers' HTTP and the way to the agents")
+    daemon("entry", "Runs an entry: serves callers over HTTP and routes requests to agents")
 }
 
 /// The arguments of `agent`.
 pub(crate) fn agent_command() -> Command {
-    daemon("agent", "Runs the agent beside a target")
+    daemon("agent", "Runs the agent of a target")
 }
 
 fn daemon(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).after_help(STOP_HELP).arg(settings_arg())
 }
 
-/// What the help says of stopping.
+/// Help on stopping and on exit codes.
 const STOP_HELP: &str = "\
-SIGTERM or SIGINT stops it gracefully: it takes no new requests and answers those in flight. A
+SIGTERM or SIGINT stops it gracefully: it accepts no new requests and answers those in flight. A
 second signal, or the deadline drain_ms in the settings, ends it.
 
 Exit codes: 0 stopped gracefully, 1 failed, 2 wrong command line, 3 stopped with requests cut.";
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until a signal stops it.
 pub(crate) fn run_entry(matches: &ArgMatches) -> Result<()> {
     logs::start("info");
     let (file, text) = read(matches)?;
@@ -59,7 +59,7 @@
 }
 
 impl Bound {
-    /// Binds both addresses; an empty one for operators leaves them out.
+    /// Binds both addresses; without an address for operators, there is no administration API.
     pub(crate) async fn bind(context: entry::Context) -> Result<Self> {
         let (settings, log) = (context.settings.clone(), context.log.clone());
         let stop = context.stop.clone();
@@ -71,7 +71,7 @@
         Ok(Self { daemon, admin, stop })
     }
 
-    /// Runs both until the entry is told to stop.
+    /// Runs both until the entry is stopped.
     pub(crate) async fn run(self) -> Result<()> {
         let operators = async {
             if let Some(admin) = self.admin {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Runs an agent until it is told to stop.
+/// Runs an agent until a signal stops it.
 pub(crate) fn run_agent(matches: &ArgMatches) -> Result<()> {
     logs::start("info");
     let (file, text) = read(matches)?;
@@ -105,7 +105,7 @@
     })
 }
 
-/// Reads the settings file: its name, for errors, and its text.
+/// Reads the settings file; returns its name, for errors, and its text.
 fn read(matches: &ArgMatches) -> Result<(String, String)> {
     let file: &String = matches.get_one("settings").ok_or_else(|| eyre!("no settings"))?;
     let text = std::fs::read_to_string(file).wrap_err_with(|| format!("read {file}"))?;
@@ -121,7 +121,7 @@
     Arc::new(HttpClient::new(platform.vms.clone(), platform.timeout))
 }
 
-/// Time beyond the drain deadline in which a daemon says goodbye by itself.
+/// The time that a daemon has after the drain deadline to close its connections and end by itself.
 const GRACE: Duration = Duration::from_secs(2);
 
 /// Ends the process if a stop takes longer than the settings allow.
@@ -134,7 +134,7 @@
     });
 }
 
-/// A token that the first SIGTERM or SIGINT cancels; the second ends the process.
+/// Returns a token that the first SIGTERM or SIGINT cancels; the second one ends the process.
 pub(crate) fn stop_on_signal() -> Result<CancellationToken> {
     let stop = CancellationToken::new();
     let token = stop.clone();
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -1,4 +1,4 @@
-//! `lapismast dev`: everything in one process over loopback, with stand-ins.
+//! `lapismast dev`: a whole fleet in one process over loopback, with stand-ins.
 
 use crate::daemons::{Bound, stop_on_signal, vm_list};
 use crate::{logs, runtime};
@@ -22,10 +22,10 @@
 use tokio_util::task::TaskTracker;
 use wire::{TcpDialler, TcpListener};
 
-/// The secret between the processes of `dev`, which never leaves this machine.
+/// The peer key of `dev`, whose connections never leave this machine.
 const PEER_KEY: &str = "dev";
 
-/// SHA-256 of the token `dev-token`, for the caller that has one.
+/// SHA-256 of `dev-token`, the token of the caller `desk`.
 const TOKEN_SHA256: &str = "c91cbbedf8c712e8e2b7517ddeca8fe4fde839ebd8339e0b2001363002b37712";
 
 /// The subcommand's arguments.
@@ -39,13 +39,17 @@
             .help(help)
     };
     Command::new("dev")
-        .about("Runs everything in one process over loopback, with stand-ins")
+        .about("Runs a whole fleet in one process over loopback, with stand-ins")
         .arg(port(
             "callers-port",
             "8080",
-            "Port of the first entry for callers; 0 takes a free one",
+            "Port of the first entry for callers; 0 chooses a free one",
+        ))
+        .arg(port(
+            "admin-port",
+            "8081",
+            "Port of the first entry for operators; 0 chooses a free one",
         ))
-        .arg(port("admin-port", "8081", "Port for operators; 0 takes a free one"))
 }
 
 /// Runs until SIGTERM or SIGINT.
@@ -53,12 +57,12 @@
     logs::start("warn");
     let port = |name| matches.get_one::<u16>(name).copied().unwrap_or_default();
     let (callers_port, admin_port) = (port("callers-port"), port("admin-port"));
-    let begun = Instant::now();
+    let started = Instant::now();
     runtime()?.block_on(async {
         let stop = stop_on_signal()?;
         let dev = Dev::start(callers_port, admin_port, stop.clone()).await?;
         dev.ready().await?;
-        dev.print(begun.elapsed());
+        dev.print(started.elapsed());
         stop.cancelled().await;
         dev.tasks.close();
         dev.tasks.wait().await;
@@ -66,7 +70,7 @@
     })
 }
 
-/// Everything in one process.
+/// A fleet in one process.
 struct Dev {
     tasks: TaskTracker,
     stop: CancellationToken,
@@ -199,26 +203,27 @@
         appended.map(drop).wrap_err_with(|| format!("publish {name}"))
     }
 
-    /// Waits until each entry knows all resources and hears all agents.
+    /// Waits until each entry has applied all resources and received a status from all agents.
     async fn ready(&self) -> Result<()> {
-        /// Far beyond what loopback needs; then something is wrong that is better said.
+        /// Far more than loopback needs; beyond it something is wrong, and an error is better than
+        /// waiting.
         const READY_TIMEOUT: Duration = Duration::from_secs(10);
         for entry in &self.entries {
-            let (agents, hearing) = (self.targets.len(), async {
-                while entry.processes().0.iter().filter(|(_, heard)| heard.is_some()).count()
+            let (agents, connecting) = (self.targets.len(), async {
+                while entry.processes().0.iter().filter(|(_, status)| status.is_some()).count()
                     < self.targets.len()
                 {
                     entry.connect_all_agents(READY_TIMEOUT).await;
                     tokio::time::sleep(Duration::from_millis(5)).await;
                 }
             });
-            let heard = tokio::time::timeout(READY_TIMEOUT, hearing).await;
-            heard.wrap_err_with(|| format!("an entry doesn't hear all {agents} agents"))?;
+            let connected = tokio::time::timeout(READY_TIMEOUT, connecting).await;
+            connected.wrap_err_with(|| format!("an entry has no status of all {agents} agents"))?;
         }
         Ok(())
     }
 
-    fn print(&self, took: Duration) {
+    fn print(&self, startup: Duration) {
         let list = |addresses: &[SocketAddr]| {
             let all: Vec<_> = addresses.iter().map(|address| format!("http://{address}")).collect();
             all.join(" and ")
@@ -229,7 +234,7 @@
         for (name, address) in &self.targets {
             println!("{name:<10} http://{address}");
         }
-        println!("ready in {} ms; stops on Ctrl-C\n", took.as_millis());
+        println!("ready in {} ms; stops on Ctrl-C\n", startup.as_millis());
         let (Some(callers), Some(operators)) = (self.callers.first(), self.operators.first())
         else {
             return;
@@ -238,7 +243,7 @@
     }
 }
 
-/// Commands to go on with, as they can be pasted.
+/// Example commands that can be pasted into a terminal.
 fn commands(callers: &SocketAddr, operators: &SocketAddr) -> String {
     format!(
         "\
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,26 +1,26 @@
-//! The exit codes of all commands; scripts rely on them, so none ever changes its meaning.
+//! The exit codes of all commands; scripts rely on them, so their meaning must never change.
 
 use std::process::ExitCode;
 
-/// A command line that makes no sense, as `clap` has it.
+/// The command line is invalid; the same code as `clap` uses.
 pub(crate) const USAGE: u8 = 2;
 
-/// A daemon's stop that cut requests in flight.
+/// A daemon was stopped before all requests in flight had been answered.
 pub(crate) const FORCED: i32 = 3;
 
-/// A run of `load` in which something happened that must never happen.
+/// A run of `load` found a violation of the serving guarantees.
 pub(crate) const BROKEN: i32 = 4;
 
-/// Another change got in first.
+/// The resource is at another generation than expected.
 const CONFLICT: u8 = 5;
 
-/// There is no such thing.
+/// The resource or request was not found.
 const NOT_FOUND: u8 = 6;
 
-/// What was waited for did not come in time.
+/// The awaited condition was not met in time.
 const NOT_REACHED: u8 = 7;
 
-/// What was waited for did not come in time.
+/// The error of a condition that was not met in time.
 #[derive(Debug, thiserror::Error)]
 #[error("{detail}")]
 pub(crate) struct NotReached {
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -1,4 +1,4 @@
-//! `lapismast fake KIND`: each stand-in as a process of its own.
+//! `lapismast fake KIND`: runs one stand-in as a process of its own.
 
 use crate::daemons::stop_on_signal;
 use crate::{logs, runtime};
@@ -12,11 +12,11 @@
 use serde_json::{Map, Value};
 use std::sync::Arc;
 
-/// What the help says of faults that are set while the stand-in runs.
+/// Help on setting faults.
 const FAULTS_HELP: &str = "\
-Faults are set by --fault FIELD=VALUE at the start, and while it runs by a JSON object, such as
+Faults are set by --fault FIELD=VALUE at the start, and while it runs with a JSON object, such as
   curl localhost:9001/faults -d '{\"out\": true}'
-and what happened so far is read back by
+and the report of what happened so far is read with
   curl localhost:9001/faults";
 
 /// The subcommand's arguments.
@@ -67,7 +67,7 @@
                 .long("listen")
                 .value_name("HOST:PORT")
                 .default_value(listen)
-                .help("Where it listens; port 0 takes a free one"),
+                .help("The address to listen on; port 0 chooses a free one"),
         )
         .arg(
             Arg::new("fault")
@@ -95,7 +95,7 @@
                 .long("slots")
                 .value_parser(value_parser!(u32).range(1..))
                 .default_value("16")
-                .help("Jobs that it runs side by side"),
+                .help("The number of jobs that it runs concurrently"),
         )
 }
 
@@ -161,7 +161,7 @@
     Ok(weights)
 }
 
-/// The faults of the command line as the JSON object that the control route would take.
+/// The faults of the command line as the JSON object that the control route accepts.
 fn faults(matches: &ArgMatches) -> Result<Value> {
     let mut faults = Map::new();
     for fault in matches.get_many::<String>("fault").unwrap_or_default() {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line: one module a subcommand, thin over the libraries.
+//! The command line: one thin module per subcommand over the libraries.
 
 mod api;
 mod check;
@@ -23,7 +23,7 @@
         Err(error) => {
             let code =
                 if error.use_stderr() { ExitCode::from(exit::USAGE) } else { ExitCode::SUCCESS };
-            // Nothing can be done about a terminal that can't be written to.
+            // If the terminal cannot be written to, there is no other place for the message.
             let _ = error.print();
             return code;
         }
@@ -37,12 +37,12 @@
     }
 }
 
-/// Where to begin.
+/// Help for first steps.
 const HELP: &str = "\
-Try `lapismast dev`: everything in one process, with stand-ins, and commands to go on with.
+Start with `lapismast dev`: a whole fleet in one process, with stand-ins, and commands to try.
 On VMs, `entry` and `agent` are the daemons; `apply`, `get` and `wait` are for operators.";
 
-/// The command line.
+/// Builds the command line with all subcommands.
 pub fn command() -> Command {
     Command::new("lapismast")
         .version(clap::crate_version!())
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,4 +1,4 @@
-//! `lapismast load FILE`: sends a described mix to entries and reports what callers received.
+//! `lapismast load FILE`: sends a mix of requests to entries and reports what callers received.
 
 use crate::{exit, runtime};
 use ::load::{Aim, Mix};
@@ -7,42 +7,42 @@
 use eyre::{Result, WrapErr, bail, eyre};
 use std::time::Duration;
 
-/// What the help says beyond the arguments.
+/// Help on the checks, the mixes and the exit code.
 const HELP: &str = "\
-Requests arrive when the mix says so, whatever becomes of those before them. Each answer is
-compared with the one that a stand-in engine must give, so that a lost, doubled or foreign token is
-seen. Examples of mixes are in trials/. The exit code is 4 if something happened that must never
-happen: an answer that is not the request's own, a call that ran twice or ran though refused, or
-conflicting orders to an engine.
+Requests are sent at the times that the mix gives, whether or not earlier ones were answered. Each
+answer is compared with the one that a stand-in engine must give, so that lost, duplicated and
+foreign tokens are detected. Examples of mixes are in trials/. The exit code is 4 if a guarantee
+was violated: an answer that is not the request's own, a call that ran twice or ran though refused,
+or conflicting orders to an engine.
 
   lapismast load trials/short.yaml --entries 127.0.0.1:8080";
 
 /// The subcommand's arguments.
 pub(crate) fn command() -> Command {
     Command::new("load")
-        .about("Sends a described mix of requests to entries and reports what callers received")
+        .about("Sends a mix of requests to entries and reports what callers received")
         .after_help(HELP)
         .arg(Arg::new("file").value_name("FILE").required(true).help("The mix, in YAML"))
         .arg(
-            addresses("entries", "Entries; a request that fails goes on through the next")
+            addresses("entries", "Entries; a request that fails is continued through the next")
                 .required(true),
         )
-        .arg(addresses("direct", "Stand-in engines that get every second prompt directly"))
+        .arg(addresses("direct", "Stand-in engines that receive every second prompt directly"))
         .arg(addresses("services", "Stand-in services, to count how often each call ran"))
-        .arg(addresses("engines", "Stand-in engines, to count changes of role"))
+        .arg(addresses("engines", "Stand-in engines, to count role changes"))
         .arg(
             Arg::new("duration")
                 .long("duration")
                 .value_name("SECONDS")
                 .value_parser(value_parser!(u32).range(1..))
-                .help("Stretches the mix, its swing and its bursts to this duration"),
+                .help("Scales the mix, its swing and its bursts to this duration"),
         )
         .arg(
             Arg::new("rate")
                 .long("rate")
                 .value_name("PER_SECOND")
                 .value_parser(value_parser!(f64))
-                .help("Instead of the mix's own rate"),
+                .help("Requests per second, instead of the mix's rate"),
         )
         .arg(
             Arg::new("output")
@@ -50,7 +50,7 @@
                 .long("output")
                 .value_parser(["table", "json"])
                 .default_value("table")
-                .help("Form of the report"),
+                .help("Output format of the report"),
         )
 }
 
@@ -63,7 +63,7 @@
         .help(help)
 }
 
-/// Gives the mix another duration, and its swing and bursts the same part of it as before.
+/// Sets the duration of the mix and scales its swing and bursts in proportion.
 fn stretch(mix: &mut Mix, duration: Duration) {
     let factor = duration.as_secs_f64() / mix.duration.as_secs_f64().max(f64::MIN_POSITIVE);
     mix.duration = duration;
@@ -84,7 +84,7 @@
     }
     if let Some(rate) = matches.get_one::<f64>("rate").copied() {
         if !(rate > 0.0 && rate.is_finite()) {
-            bail!("--rate: a rate is above 0");
+            bail!("--rate: the rate must be a finite number above 0");
         }
         mix.rate = rate;
     }
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,10 +1,10 @@
-//! Logs: one line of key=value pairs for each event, on standard error.
+//! Logs: one line of key=value pairs per event, on standard error.
 
 use logforth::append::Stderr;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::LogfmtLayout;
 
-/// Starts logging; `RUST_LOG` chooses levels by module, `info` if it is not set.
+/// Starts logging; `RUST_LOG` sets the levels by module, and `default` applies if it is not set.
 pub(crate) fn start(default: &str) {
     let filter = RustLogFilterBuilder::from_default_env_or(default);
     let append = Stderr::default().with_layout(LogfmtLayout::default());
--- a/crates/cli/src/operators.rs
+++ b/crates/cli/src/operators.rs
@@ -1,4 +1,4 @@
-//! The administration API of an entry: what it sees of the fleet, and where it listens.
+//! The administration API of an entry: its view of the fleet, and its address.
 
 use admin::{Context, Process, ProcessKind, Server, TokenCheck};
 use async_trait::async_trait;
@@ -11,14 +11,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An entry as the administration API sees the fleet.
+/// The administration API's view of the fleet through an entry.
 struct Fleet {
     entry: Arc<Entry>,
     name: CompactString,
 }
 
-/// How long to wait for agents that the entry is not connected to, so that an agent that is gone
-/// doesn't hold up the answer for long.
+/// How long to wait for connections to agents that the entry is not connected to, so that an
+/// unreachable agent does not delay the response for long.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[async_trait]
@@ -45,8 +45,8 @@
         let steps = explanation.steps.iter();
         lines.extend(steps.map(|step| format!("{:>6} ms  {}", step.at_ms, step.text)));
         for report in explanation.agents {
-            let told = report.text.lines();
-            lines.extend(told.map(|line| format!("agent of {}: {line}", report.target)));
+            let report_lines = report.text.lines();
+            lines.extend(report_lines.map(|line| format!("agent of {}: {line}", report.target)));
         }
         Some(lines)
     }
--- a/crates/cli/tests/commands.rs
+++ b/crates/cli/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line as people see it: help, errors, exit codes, and real processes.
+//! The command line as a real process: help, errors and exit codes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, Command, Output, Stdio};
@@ -16,13 +16,13 @@
 #[test]
 fn help_teaches() {
     let pages = [&["--help"][..], &["entry", "--help"], &["apply", "--help"], &["fake", "--help"]];
-    let shown = pages
+    let output = pages
         .map(|args| format!("$ lapismast {}\n{}", args.join(" "), text(&lapismast(args).stdout)));
-    insta::assert_snapshot!(shown.join("\n"));
+    insta::assert_snapshot!(output.join("\n"));
 }
 
 #[test]
-fn the_examples_are_right_and_a_typo_is_answered_with_the_nearest_name() {
+fn the_examples_are_valid_and_for_a_typo_the_nearest_name_is_suggested() {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
     let files = [
         ("resources", "resources"),
@@ -36,28 +36,28 @@
         assert!(checked.status.success(), "{}", text(&checked.stderr));
     }
     let wrong = std::env::temp_dir().join(format!("lapismast-{}.yaml", std::process::id()));
-    let mut file = std::fs::File::create(&wrong).expect("the folder for such files can be written");
+    let mut file = std::fs::File::create(&wrong).expect("the temporary folder can be written");
     file.write_all(b"kind: Caller\nname: a\nspec:\n  wieght: 2\n")
         .expect("the file can be written");
-    let told = lapismast(&["check", &wrong.to_string_lossy()]);
+    let checked = lapismast(&["check", &wrong.to_string_lossy()]);
     std::fs::remove_file(&wrong).expect("the file is there");
-    assert_eq!(told.status.code(), Some(1));
-    let told = text(&told.stderr);
+    assert_eq!(checked.status.code(), Some(1));
+    let error = text(&checked.stderr);
     assert!(
-        told.contains("line 4, spec.wieght") && told.contains("did you mean `weight`?"),
-        "{told}"
+        error.contains("line 4, spec.wieght") && error.contains("did you mean `weight`?"),
+        "{error}"
     );
 }
 
 #[test]
 fn settings_are_shown_with_their_defaults_and_without_the_key() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/agent-engine.yaml");
-    let shown = lapismast(&["settings", "--print", "--as", "agent", file]);
-    insta::assert_snapshot!(text(&shown.stdout));
+    let printed = lapismast(&["settings", "--print", "--as", "agent", file]);
+    insta::assert_snapshot!(text(&printed.stdout));
 }
 
 #[test]
-fn wrong_command_lines_and_unreachable_entries_have_exit_codes_of_their_own() {
+fn wrong_command_lines_and_unreachable_entries_have_different_exit_codes() {
     let codes = [
         lapismast(&["aply"]).status.code(),
         lapismast(&["get", "Targte", "--admin", "127.0.0.1:1"]).status.code(),
@@ -66,7 +66,7 @@
     assert_eq!(codes, [Some(2), Some(1), Some(1)]);
 }
 
-/// A process that ends with the test, and its address from its first line.
+/// A stand-in process, killed at the end of the test, with the address that its first line prints.
 struct Process {
     child: Child,
     address: String,
@@ -82,7 +82,7 @@
             .spawn()
             .expect("the program starts");
         let mut line = String::new();
-        let stdout = child.stdout.take().expect("it is piped");
+        let stdout = child.stdout.take().expect("the pipe was requested above");
         BufReader::new(stdout).read_line(&mut line).expect("it prints its address");
         let address = line.rsplit("http://").next().unwrap_or_default().trim().to_owned();
         Self { child, address }
@@ -91,20 +91,20 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.child.kill().expect("it is ours");
-        self.child.wait().expect("it is ours");
+        self.child.kill().expect("the child has not been waited for");
+        self.child.wait().expect("it is a child of this process");
     }
 }
 
 fn free_port() -> u16 {
     let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback can be bound");
-    socket.local_addr().expect("it is bound").port()
+    socket.local_addr().expect("the socket is bound").port()
 }
 
-// Operators' tokens and the fleet's key end up in logs, and from there in tickets and with
-// whoever reads them. An entry runs as its own process; a right and a wrong token are used.
+// Guards against operators' tokens and the fleet's key in the logs, from where they would get into
+// tickets. An entry runs as its own process, and a valid and a wrong token are used.
 #[test]
-fn an_entry_takes_changes_from_operators_and_logs_no_secret() {
+fn an_entry_applies_operators_changes_and_logs_no_secret() {
     let log = Process::fake(&["log"]);
     let (callers, admin) = (free_port(), free_port());
     let digest = "c91cbbedf8c712e8e2b7517ddeca8fe4fde839ebd8339e0b2001363002b37712";
@@ -138,9 +138,9 @@
     let refused = apply("wrong-token");
     let stopped = Command::new("kill").args(["-TERM", &entry.id().to_string()]).status();
     assert!(stopped.expect("kill can be run").success());
-    let status = entry.wait().expect("it is ours");
+    let status = entry.wait().expect("it is a child of this process");
     let mut logs = String::new();
-    let stderr = entry.stderr.take().expect("it is piped");
+    let stderr = entry.stderr.take().expect("the pipe was requested above");
     std::io::Read::read_to_string(&mut BufReader::new(stderr), &mut logs).expect("logs are text");
     std::fs::remove_file(&file).expect("the file is there");
     assert!(first.status.success(), "{}", text(&first.stderr));
@@ -153,6 +153,6 @@
     assert_eq!(status.code(), Some(0));
     assert!(logs.contains("resource-applied"), "{logs}");
     for secret in ["dev-token", "wrong-token", "the-fleets-key", digest] {
-        assert!(!logs.contains(secret), "a log line holds `{secret}`");
+        assert!(!logs.contains(secret), "a log line contains `{secret}`");
     }
 }
--- a/crates/cli/tests/operating.rs
+++ b/crates/cli/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The operators' page says what the programs do: settings, log events, reasons and metrics.
+//! Checks that the operators' page documents all settings, log events and reasons.
 
 use std::path::{Path, PathBuf};
 
@@ -6,30 +6,30 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn page() -> String {
-    std::fs::read_to_string(root().join("docs/OPERATING.md")).expect("the page is there")
+fn operators_page() -> String {
+    std::fs::read_to_string(root().join("docs/OPERATING.md")).expect("the page exists")
 }
 
-/// The YAML block after a comment.
+/// Finds the YAML block after a comment.
 fn block<'a>(page: &'a str, comment: &str) -> &'a str {
-    let after = page.split_once(comment).expect("the comment is there").1;
+    let after = page.split_once(comment).expect("the comment exists").1;
     let block = after.split_once("```yaml\n").expect("a block follows").1;
     block.split_once("```").expect("the block ends").0
 }
 
 #[test]
 fn the_settings_on_the_page_are_the_defaults() {
-    let page = page();
+    let page = operators_page();
     let entry = serde_yaml_ng::to_string(&conf::settings::Entry::default());
     let agent = serde_yaml_ng::to_string(&conf::settings::Agent::default());
     assert_eq!(block(&page, "settings of an entry"), entry.expect("settings are YAML"));
     assert_eq!(block(&page, "settings of an agent"), agent.expect("settings are YAML"));
 }
 
-/// The events of all log lines in a folder's sources, in kebab case at the end of the call.
+/// Collects the events of all log calls in a folder's sources.
 fn events(folder: &Path, found: &mut Vec<String>) {
-    for file in std::fs::read_dir(folder).expect("the folder is there") {
-        let path = file.expect("it can be read").path();
+    for file in std::fs::read_dir(folder).expect("the folder exists") {
+        let path = file.expect("the folder's entry can be read").path();
         if path.is_dir() {
             events(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The message of a log call, which is all there is or stands after the `;`.
+/// The event of a log call: its only argument, or the literal after the `;`.
 fn event(call: &str) -> Option<String> {
     let inner = call.split_once("!(")?.1.trim_start();
     let message = match inner.strip_prefix('"') {
@@ -61,14 +61,14 @@
     found.sort();
     found.dedup();
     assert!(found.len() > 20, "{found:?}");
-    let page = page();
+    let page = operators_page();
     let missing: Vec<_> = found.iter().filter(|e| !page.contains(&format!("`{e}`"))).collect();
     assert!(missing.is_empty(), "not on the page: {missing:?}");
 }
 
 #[test]
 fn each_reason_of_a_refusal_is_on_the_page() {
-    let page = page();
+    let page = operators_page();
     let names = entry::Reason::ALL.iter().map(|reason| reason.name());
     let missing: Vec<_> = names.filter(|name| !page.contains(&format!("`{name}`"))).collect();
     assert!(missing.is_empty(), "not on the page: {missing:?}");
--- a/crates/cli/tests/processes/fleet.rs
+++ b/crates/cli/tests/processes/fleet.rs
@@ -1,5 +1,5 @@
 //! A fleet of real processes on loopback: starts the program, signals its processes by id, and
-//! ends only what it started.
+//! ends only processes that it started.
 
 use bytes::Bytes;
 use conf::{Kind, settings};
@@ -17,23 +17,23 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
-/// The secret between the fleet's processes.
+/// The peer key of the fleet.
 const PEER_KEY: &str = "processes";
 
-/// How long anything may take before the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// The timeout of every step of a test.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// One process of the fleet; it ends with the test.
+/// One process of the fleet; it is killed when dropped.
 pub struct Process {
     child: Child,
 }
 
-/// What a caller received.
+/// The answer that a caller received.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
     pub body: String,
-    /// Whether the body broke off.
+    /// Whether the body was cut off.
     pub cut: bool,
 }
 
@@ -68,13 +68,14 @@
     pub async fn ended(mut self) -> Option<i32> {
         let waiting = async {
             loop {
-                if let Some(status) = self.child.try_wait().expect("it is our child") {
+                if let Some(status) = self.child.try_wait().expect("it is a child of this process")
+                {
                     return status.code();
                 }
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, waiting).await.expect("the process ends in time")
+        tokio::time::timeout(STEP_TIMEOUT, waiting).await.expect("the process ends in time")
     }
 }
 
@@ -90,7 +91,7 @@
     /// Starts the platform's stand-ins.
     pub async fn start(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("lapismast-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("the folder for settings can be made");
+        std::fs::create_dir_all(&folder).expect("the folder for settings can be created");
         let (log_address, vms_address) = (free_address(), free_address());
         let log = Process::start(&["fake", "log", "--listen", &log_address]);
         let vms = Process::start(&["fake", "vms", "--listen", &vms_address]);
@@ -101,7 +102,7 @@
         fleet
     }
 
-    /// Starts a stand-in target of a kind, `engine` or `service`, and returns its address.
+    /// Starts a stand-in target of a kind, `engine` or `service`; returns it with its address.
     pub async fn fake(&self, kind: &str) -> (Process, String) {
         let address = free_address();
         let process = Process::start(&["fake", kind, "--listen", &address]);
@@ -109,7 +110,7 @@
         (process, address)
     }
 
-    /// Starts the agent of a target and returns its address for entries.
+    /// Starts the agent of a target; returns it with its address for entries.
     pub async fn agent(
         &self,
         name: &str,
@@ -135,7 +136,7 @@
         (process, address)
     }
 
-    /// Starts an entry that takes callers at `address`, and waits until it is ready.
+    /// Starts an entry and waits until it is ready; returns it with its address for callers.
     pub async fn entry(&self, name: &str, peers: &[&str]) -> (Process, String) {
         let address = free_address();
         let settings = settings::Entry {
@@ -156,7 +157,7 @@
         (process, address)
     }
 
-    /// Appends a change of a resource as an operator would.
+    /// Appends a change of a resource, as an operator's command does.
     pub async fn publish(&self, kind: Kind, name: &str, spec: Value) {
         let platform = self.platform();
         let log = HttpClient::new(platform.log, platform.timeout);
@@ -164,8 +165,8 @@
         let spec = Some(spec.to_string());
         let (kind, name) = (kind.name().to_owned(), name.to_owned());
         let change = Body::Change(Change { kind, name, spec, expects: None });
-        // On a very busy machine the stand-in drops a connection now and then. The appender says
-        // then that nothing was appended, and an operator would send the change again.
+        // On a very busy machine the stand-in occasionally drops a connection. The appender then
+        // reports that nothing was appended, and an operator would retry the change.
         until("the change is published", || async {
             match appender.append(plat::CONFIG_STREAM, change.clone()).await {
                 Ok(_) => true,
@@ -194,27 +195,28 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // What is left behind is small and named after this process.
+        // If it fails, what remains is small and has the id of this process in its name.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Waits until `condition` holds; fails the test if it does not in time.
+/// Waits until `condition` holds; fails the test after `STEP_TIMEOUT`.
 pub async fn until<F: Future<Output = bool>>(what: &str, condition: impl Fn() -> F) {
     let waiting = async {
         while !condition().await {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.unwrap_or_else(|_| panic!("in time: {what}"));
+    tokio::time::timeout(STEP_TIMEOUT, waiting).await.unwrap_or_else(|_| panic!("in time: {what}"));
 }
 
-/// Sends a request and collects the answer; `None` if there was none.
+/// Sends a request and collects the answer; fails the test if there is none.
 pub async fn send(address: &str, request: hyper::http::request::Builder, body: Value) -> Answer {
     let body = if body.is_null() { Bytes::new() } else { Bytes::from(body.to_string()) };
     let request = request.body(Full::new(body)).expect("the request is valid");
     let sending = exchange(address, request);
-    let answer = tokio::time::timeout(PATIENCE, sending).await.expect("an answer comes in time");
+    let answer =
+        tokio::time::timeout(STEP_TIMEOUT, sending).await.expect("an answer arrives in time");
     answer.expect("the connection is not lost before an answer")
 }
 
@@ -228,7 +230,7 @@
     send(address, hyper::Request::post(path).header("idempotency-key", key), body).await
 }
 
-/// Gets a path; `None` if nobody answers.
+/// Gets a path; `None` if no answer was received.
 pub async fn get(address: &str, path: &str) -> Option<Answer> {
     let request = hyper::Request::get(path).body(Full::default()).expect("the request is valid");
     exchange(address, request).await
@@ -259,17 +261,17 @@
     tokio::net::TcpStream::connect(address).await.is_ok()
 }
 
-/// An address that nothing uses. The system's own free ports are no choice: another test could be
-/// given the same one before our process binds it. These lie below that range, and each process
-/// of tests begins at another.
+/// Finds an address that is not in use. Ports that the system assigns are unsuitable: another test
+/// could be assigned the same one before our process binds it. These ports are below that range,
+/// and each test process starts at another one.
 fn free_address() -> String {
     const FIRST: u32 = 20_000;
     const PORTS: u32 = 12_000;
-    const PORTS_A_RUN: u32 = 200;
+    const PORTS_PER_PROCESS: u32 = 200;
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let number =
-            std::process::id().wrapping_mul(PORTS_A_RUN) + NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = std::process::id().wrapping_mul(PORTS_PER_PROCESS)
+            + NEXT.fetch_add(1, Ordering::Relaxed);
         let address = format!("127.0.0.1:{}", FIRST + number % PORTS);
         if TcpListener::bind(&address).is_ok() {
             return address;
--- a/crates/cli/tests/processes/main.rs
+++ b/crates/cli/tests/processes/main.rs
@@ -1,5 +1,5 @@
-//! The fleet as real processes that are killed, paused and replaced by process id. Nothing here
-//! asserts a timing: what counts is what callers received and how often calls ran.
+//! A fleet of real processes that are killed, paused and replaced by process id. The tests assert
+//! no timing, only the answers that callers received and how often calls were executed.
 
 mod fleet;
 
@@ -15,7 +15,7 @@
     })
 }
 
-/// The text of a streamed answer, and whether it ended as a whole one does.
+/// The text of a streamed answer, and whether it ended with `[DONE]`.
 fn text_of(body: &str) -> (String, bool) {
     let data = body.lines().filter_map(|line| line.strip_prefix("data: "));
     let texts = data.clone().filter_map(|line| serde_json::from_str::<Value>(line).ok());
@@ -23,7 +23,7 @@
     (texts.collect(), data.clone().any(|line| line == "[DONE]"))
 }
 
-/// How often the stand-in service ran the call with this body.
+/// The number of times that the stand-in service executed the call with this body.
 async fn runs(service: &str, body: &Value) -> u64 {
     let report = get(service, "/faults").await.expect("the stand-in answers").body;
     let report: Value = serde_json::from_str(&report).expect("the report is JSON");
@@ -32,12 +32,12 @@
     runs.iter().filter(|(name, _)| name.contains(&body)).filter_map(|(_, n)| n.as_u64()).sum()
 }
 
-async fn fault(address: &str, faults: Value) {
+async fn set_faults(address: &str, faults: Value) {
     let answer = post(address, "/faults", faults).await;
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
-async fn engine(fleet: &Fleet, name: &str) -> (fleet::Process, fleet::Process) {
+async fn start_engine(fleet: &Fleet, name: &str) -> (fleet::Process, fleet::Process) {
     let (engine, address) = fleet.fake("engine").await;
     let agent = format!("agent-{name}");
     let (agent, listens) = fleet.agent(&agent, name, Backend::Engine, &address).await;
@@ -46,12 +46,12 @@
     (engine, agent)
 }
 
-// An engine's process is killed in the middle of an answer. The caller must see one whole answer,
-// the same that a single engine would have given, and nothing of the loss but a pause.
+// An engine's process is killed in the middle of an answer. The caller must receive one complete
+// answer, equal to that of a single engine; the only visible effect may be a pause.
 #[tokio::test]
-async fn an_engine_killed_in_the_middle_of_an_answer_is_not_noticed() {
+async fn an_answer_whose_engine_is_killed_is_complete() {
     let fleet = Fleet::start("engine-killed").await;
-    let (first, _first_agent) = engine(&fleet, "engine-1").await;
+    let (first, _first_agent) = start_engine(&fleet, "engine-1").await;
     let (entry, address) = fleet.entry("entry-1", &[]).await;
     let ready = completion("warm", 2);
     until("the model is served", || async {
@@ -61,23 +61,23 @@
     let whole = post(&address, "/v1/completions", completion("Why?", 600)).await;
     assert!(text_of(&whole.body).1, "{}", whole.body);
 
-    let (_second, _second_agent) = engine(&fleet, "engine-2").await;
+    let (_second, _second_agent) = start_engine(&fleet, "engine-2").await;
     let killed = tokio::spawn(async move {
         tokio::time::sleep(std::time::Duration::from_millis(500)).await;
         first.signal("KILL");
     });
-    let again = post(&address, "/v1/completions", completion("Why?", 600)).await;
+    let resumed = post(&address, "/v1/completions", completion("Why?", 600)).await;
     killed.await.expect("the engine was killed");
-    assert!(!again.cut);
-    assert_eq!(text_of(&again.body), text_of(&whole.body));
+    assert!(!resumed.cut);
+    assert_eq!(text_of(&resumed.body), text_of(&whole.body));
     drop(entry);
 }
 
-// An agent is killed after it handed a transfer to the ledger and before the ledger answered. The
-// caller is told that the outcome is unknown; sent again through another entry, also once a new
-// agent stands beside the ledger, the transfer must not move the funds a second time.
+// An agent is killed after it sent a transfer of funds to the ledger and before the ledger
+// answered. The caller receives the outcome `unknown`. A retry through another entry, when the
+// ledger has a new agent, must not execute the transfer a second time.
 #[tokio::test]
-async fn a_transfer_whose_agent_is_killed_runs_once_and_is_unknown_from_then_on() {
+async fn a_transfer_whose_agent_is_killed_runs_once_and_stays_unknown() {
     let fleet = Fleet::start("agent-killed").await;
     let (_ledger, ledger) = fleet.fake("service").await;
     let (agent, listens) = fleet.agent("agent-1", "ledger-1", Backend::Service, &ledger).await;
@@ -90,7 +90,7 @@
     })
     .await;
 
-    fault(&ledger, json!({"delay_ms": 3_000})).await;
+    set_faults(&ledger, json!({"delay_ms": 3_000})).await;
     let transfer = json!({"amount": 5, "to": "B"});
     let (path, key) = ("/services/ledger/transfers", "transfer-1");
     let calling = {
@@ -100,10 +100,10 @@
     until("the transfer has reached the ledger", || async { runs(&ledger, &transfer).await == 1 })
         .await;
     agent.signal("KILL");
-    let told = calling.await.expect("the caller is answered");
-    assert!(told.body.contains("\"run\":\"unknown\""), "{}", told.body);
+    let answer = calling.await.expect("the caller is answered");
+    assert!(answer.body.contains("\"run\":\"unknown\""), "{}", answer.body);
 
-    fault(&ledger, json!({"delay_ms": 0})).await;
+    set_faults(&ledger, json!({"delay_ms": 0})).await;
     let (_new, listens) = fleet.agent("agent-2", "ledger-1", Backend::Service, &ledger).await;
     let spec = json!({"domain": "domain-1", "agent": listens, "service": "ledger"});
     fleet.publish(Kind::Target, "ledger-1", spec).await;
@@ -111,16 +111,16 @@
         call(&second, "/services/ledger/ping", "warm-2", json!(0)).await.status == 200
     })
     .await;
-    let again = call(&second, path, key, transfer.clone()).await;
-    assert!(again.body.contains("\"run\":\"unknown\""), "{}", again.body);
+    let retry = call(&second, path, key, transfer.clone()).await;
+    assert!(retry.body.contains("\"run\":\"unknown\""), "{}", retry.body);
     assert_eq!(runs(&ledger, &transfer).await, 1);
 }
 
-// An agent is paused (its VM freezes), a new one takes its target over, and later the old one
-// wakes up and goes on as if nothing had happened. A transfer that waited in it must not run after
-// the new agent has answered for its key.
+// An agent is paused (its VM freezes), a new agent takes over its target, and later the old one
+// continues, unaware of it. A transfer that was queued in the old agent must not be executed after
+// the new agent has answered for its idempotency key.
 #[tokio::test]
-async fn a_paused_agent_that_wakes_up_runs_nothing_twice() {
+async fn a_paused_agent_that_continues_runs_nothing_twice() {
     let fleet = Fleet::start("agent-paused").await;
     let (_ledger, ledger) = fleet.fake("service").await;
     let (old, listens) = fleet.agent("agent-1", "ledger-1", Backend::Service, &ledger).await;
@@ -146,25 +146,24 @@
         call(&address, "/services/ledger/ping", "warm-2", json!(0)).await.status == 200
     })
     .await;
-    let told = first.await.expect("the caller is answered");
-    let again = call(&address, path, key, transfer.clone()).await;
+    let first = first.await.expect("the caller is answered");
+    let retry = call(&address, path, key, transfer.clone()).await;
     old.signal("CONT");
     let after = call(&address, path, key, transfer.clone()).await;
     tokio::time::sleep(std::time::Duration::from_secs(2)).await;
     let count = runs(&ledger, &transfer).await;
-    let said = [&told, &again, &after].map(|answer| (answer.status, answer.body.clone()));
-    assert!(count <= 1, "ran {count} times, {said:?}");
-    let answered = [&told, &again, &after].into_iter().any(|answer| answer.status == 200);
-    assert_eq!(answered, count == 1, "{said:?}");
+    let answers = [&first, &retry, &after].map(|answer| (answer.status, answer.body.clone()));
+    assert!(count <= 1, "ran {count} times, {answers:?}");
+    let answered = [&first, &retry, &after].into_iter().any(|answer| answer.status == 200);
+    assert_eq!(answered, count == 1, "{answers:?}");
 }
 
-// An entry is killed in the middle of an answer. The caller sends its request again through
-// another entry with the last event id that it saw, and goes on from there: nothing is lost and
-// nothing comes twice.
+// An entry is killed in the middle of an answer. The caller retries through another entry with the
+// last event id that it received. The rest must follow without loss or duplication.
 #[tokio::test]
-async fn an_answer_whose_entry_is_killed_goes_on_through_another() {
+async fn an_answer_whose_entry_is_killed_is_resumed_through_another() {
     let fleet = Fleet::start("entry-killed").await;
-    let (_engine, _agent) = engine(&fleet, "engine-1").await;
+    let (_engine, _agent) = start_engine(&fleet, "engine-1").await;
     let (one, first) = fleet.entry("entry-1", &[]).await;
     let (_two, second) = fleet.entry("entry-2", &[]).await;
     for address in [&first, &second] {
@@ -182,17 +181,18 @@
     };
     tokio::time::sleep(std::time::Duration::from_millis(700)).await;
     one.signal("KILL");
-    let cut = cut.await.expect("the caller got a part");
+    let cut = cut.await.expect("the caller received a part");
     let last = cut.body.lines().rev().find_map(|line| line.strip_prefix("id: "));
-    let last = last.expect("an event came before the kill").to_owned();
-    // The piece behind the last event id is dropped, as a caller's library would drop a torn one.
+    let last = last.expect("an event was received before the kill").to_owned();
+    // An incomplete event at the end is dropped, as a caller's library would do; the caller then
+    // resumes after the event before it.
     let (seen, _) = cut.body.rsplit_once(&format!("id: {last}\n")).expect("the id was found");
-    let torn = cut.body.ends_with("\n\n");
-    let (seen, from) = match torn {
+    let complete = cut.body.ends_with("\n\n");
+    let (seen, from) = match complete {
         true => (cut.body.as_str(), last),
         false => {
             let before = seen.lines().rev().find_map(|line| line.strip_prefix("id: "));
-            (seen, before.expect("more than one event came").to_owned())
+            (seen, before.expect("more than one event was received").to_owned())
         }
     };
     let request = hyper::Request::post("/v1/completions").header("last-event-id", from);
@@ -201,10 +201,10 @@
     assert_eq!((joined, true), text_of(&whole.body), "{}", rest.body);
 }
 
-// The log is killed. What is in force goes on being served, and an entry that starts meanwhile
-// gets the configuration from an agent.
+// The log is killed. Serving must continue with the configuration in effect, and an entry that
+// starts meanwhile must get the configuration from an agent.
 #[tokio::test]
-async fn an_entry_that_starts_while_the_log_is_out_serves() {
+async fn an_entry_that_starts_while_the_log_is_unavailable_serves() {
     let fleet = Fleet::start("log-killed").await;
     let (_engine, engine) = fleet.fake("engine").await;
     let (_agent, listens) = fleet.agent("agent-1", "engine-1", Backend::Engine, &engine).await;
@@ -223,13 +223,13 @@
     }
 }
 
-// Every process is told to stop, one after another, while answers are under way. No answer may be
-// cut, and each process ends by itself with the exit code of a graceful stop.
+// An agent and an entry receive SIGTERM while answers are in progress. No answer may be cut off,
+// and both processes must end by themselves with the exit code of a graceful stop.
 #[tokio::test]
 async fn graceful_stops_cut_no_answer() {
     let fleet = Fleet::start("graceful").await;
-    let (_first, first_agent) = engine(&fleet, "engine-1").await;
-    let (_second, _second_agent) = engine(&fleet, "engine-2").await;
+    let (_first, first_agent) = start_engine(&fleet, "engine-1").await;
+    let (_second, _second_agent) = start_engine(&fleet, "engine-2").await;
     let (one, first) = fleet.entry("entry-1", &[]).await;
     let (_two, second) = fleet.entry("entry-2", &[]).await;
     for address in [&first, &second] {
