--- a/crates/admin/src/context.rs
+++ b/crates/admin/src/context.rs
@@ -13,7 +13,7 @@
 pub enum ProcessKind {
     /// An entry.
     Entry,
-    /// The agent beside a target.
+    /// The agent of a target.
     Agent,
 }
 
--- a/crates/admin/src/problem.rs
+++ b/crates/admin/src/problem.rs
@@ -51,8 +51,8 @@
             field: self.field.clone(),
         };
         response.status_code(self.status);
-        let kind = HeaderValue::from_static("application/problem+json");
-        response.headers_mut().insert(header::CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("application/problem+json");
+        response.headers_mut().insert(header::CONTENT_TYPE, content_type);
         if self.status == StatusCode::UNAUTHORIZED {
             let scheme = HeaderValue::from_static("Bearer");
             response.headers_mut().insert(header::WWW_AUTHENTICATE, scheme);
--- a/crates/admin/src/routes.rs
+++ b/crates/admin/src/routes.rs
@@ -151,15 +151,15 @@
     }
 
     async fn get(&self, request: &Request) -> Result<Resource, Problem> {
-        let (kind, name) = key(request)?;
+        let (kind, name) = kind_and_name(request)?;
         let processes = self.context.fleet.processes().await;
         let config = self.context.config.borrow().clone();
-        let entry = config.get(kind, &name).ok_or_else(|| missing(&config, kind, &name))?;
+        let entry = config.get(kind, &name).ok_or_else(|| not_found(&config, kind, &name))?;
         Ok(status::resource(entry, &processes))
     }
 
     async fn apply(&self, request: &mut Request) -> Result<Accepted, Problem> {
-        let (kind, name) = key(request)?;
+        let (kind, name) = kind_and_name(request)?;
         let (operator, expects) = (operator(request)?, expects(request)?);
         let body = request.payload_with_max_size(MAX_BODY_BYTES).await;
         let body = body.map_err(|_| Problem::too_large(MAX_BODY_BYTES))?;
@@ -175,11 +175,11 @@
     }
 
     async fn delete(&self, request: &Request) -> Result<Accepted, Problem> {
-        let (kind, name) = key(request)?;
+        let (kind, name) = kind_and_name(request)?;
         let (operator, expects) = (operator(request)?, expects(request)?);
         {
             let config = self.context.config.borrow();
-            config.get(kind, &name).ok_or_else(|| missing(&config, kind, &name))?;
+            config.get(kind, &name).ok_or_else(|| not_found(&config, kind, &name))?;
         }
         let accepted = self.context.registry.delete(&operator, kind, &name, expects).await?;
         log::info!(
@@ -251,14 +251,14 @@
     Order { offset: order.offset, target, what, author, outcome }
 }
 
-fn missing(config: &Config, kind: Kind, name: &Name) -> Problem {
+fn not_found(config: &Config, kind: Kind, name: &Name) -> Problem {
     let names = config.list(kind).map(|entry| entry.resource.name.as_str());
     let hint = conf::check::nearest(name, names);
     let hint = hint.map(|near| format!("; did you mean `{near}`?")).unwrap_or_default();
     Problem::not_found(format!("there is no {} {name}{hint}", kind.name()))
 }
 
-fn key(request: &Request) -> Result<(Kind, Name), Problem> {
+fn kind_and_name(request: &Request) -> Result<(Kind, Name), Problem> {
     let kind = Kind::from_name(&request.param::<String>("kind").unwrap_or_default())?;
     let name: String = request.param("name").unwrap_or_default();
     Ok((kind, name.into()))
--- a/crates/admin/tests/operators.rs
+++ b/crates/admin/tests/operators.rs
@@ -83,7 +83,7 @@
     }
 }
 
-// A stranger connects to the operators' port. Without the token nothing may be read or changed;
+// Someone without the token connects to the operators' port. Nothing may be read or changed;
 // an empty digest accepts nobody on an address that other machines can reach.
 #[tokio::test]
 async fn calls_without_the_token_are_refused() {
--- a/crates/cli/src/api/audit.rs
+++ b/crates/cli/src/api/audit.rs
@@ -28,9 +28,9 @@
 
 /// Prints the trail, and follows it with `--follow`.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
-    let form = output(matches);
+    let format = output(matches);
     let mut trail = client.audit(0, 0, Duration::ZERO).await?;
-    show(form, &trail.entries)?;
+    show(format, &trail.entries)?;
     while matches.get_flag("follow") {
         match client.audit(trail.config_end, trail.system_end, WAIT).await {
             Ok(next) => trail = next,
@@ -40,14 +40,14 @@
                 tokio::time::sleep(RETRY_WAIT).await;
             }
         }
-        show(form, &trail.entries)?;
+        show(format, &trail.entries)?;
     }
     Ok(())
 }
 
-fn show(form: &str, entries: &[AuditEntry]) -> Result<()> {
+fn show(format: &str, entries: &[AuditEntry]) -> Result<()> {
     for entry in entries {
-        match form {
+        match format {
             "json" => println!("{}", serde_json::to_string(entry)?),
             "yaml" => print!("---\n{}", serde_yaml_ng::to_string(entry)?),
             _ => {
--- a/crates/cli/src/api/get.rs
+++ b/crates/cli/src/api/get.rs
@@ -23,21 +23,21 @@
 /// Reads the requested items and prints them.
 pub(crate) async fn run(client: &Client, matches: &ArgMatches) -> Result<()> {
     let kind: &String = matches.get_one("kind").ok_or_else(|| eyre!("no kind"))?;
-    let form = output(matches);
+    let format = output(matches);
     match (kind.as_str(), matches.get_one::<String>("name")) {
-        ("fleet", None) => show(form, &client.fleet().await?.members, members),
-        ("orders", None) => show(form, &client.orders().await?, orders),
-        ("leases", None) => show(form, &client.leases().await?, leases),
-        ("all", None) => show_resources(form, &client.list(None).await?),
-        (kind, None) => show_resources(form, &client.list(Some(Kind::from_name(kind)?)).await?),
+        ("fleet", None) => show(format, &client.fleet().await?.members, members),
+        ("orders", None) => show(format, &client.orders().await?, orders),
+        ("leases", None) => show(format, &client.leases().await?, leases),
+        ("all", None) => show_resources(format, &client.list(None).await?),
+        (kind, None) => show_resources(format, &client.list(Some(Kind::from_name(kind)?)).await?),
         (kind, Some(name)) => {
-            show_resources(form, &[client.get(Kind::from_name(kind)?, name).await?])
+            show_resources(format, &[client.get(Kind::from_name(kind)?, name).await?])
         }
     }
 }
 
-fn show<T: Serialize>(form: &str, items: &[T], table: impl Fn(&[T]) -> Table) -> Result<()> {
-    match form {
+fn show<T: Serialize>(format: &str, items: &[T], table: impl Fn(&[T]) -> Table) -> Result<()> {
+    match format {
         "json" => println!("{}", serde_json::to_string_pretty(items)?),
         "yaml" => print!("{}", serde_yaml_ng::to_string(items)?),
         _ => print!("{}", table(items)),
@@ -46,9 +46,9 @@
 }
 
 /// Prints resources; as YAML in the form that `apply` reads, with their status as a comment.
-fn show_resources(form: &str, resources: &[Resource]) -> Result<()> {
-    if form != "yaml" {
-        return show(form, resources, table);
+fn show_resources(format: &str, resources: &[Resource]) -> Result<()> {
+    if format != "yaml" {
+        return show(format, resources, table);
     }
     for resource in resources {
         let Resource { kind, name, spec, generation, author, .. } = resource;
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -218,7 +218,7 @@
                 }
             });
             let connected = tokio::time::timeout(READY_TIMEOUT, connecting).await;
-            connected.wrap_err_with(|| format!("an entry has no status of all {agents} agents"))?;
+            connected.wrap_err_with(|| format!("an entry has not reached all {agents} agents"))?;
         }
         Ok(())
     }
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -155,7 +155,7 @@
 fn weights(matches: &ArgMatches) -> Result<MemoryWeights> {
     let weights = MemoryWeights::default();
     for artifact in matches.get_many::<String>("artifact").unwrap_or_default() {
-        let (name, bytes) = pair(artifact)?;
+        let (name, bytes) = name_and_value(artifact)?;
         weights.put(name, bytes.parse().wrap_err_with(|| format!("--artifact {artifact}"))?);
     }
     Ok(weights)
@@ -165,13 +165,13 @@
 fn faults(matches: &ArgMatches) -> Result<Value> {
     let mut faults = Map::new();
     for fault in matches.get_many::<String>("fault").unwrap_or_default() {
-        let (field, value) = pair(fault)?;
+        let (field, value) = name_and_value(fault)?;
         let value = serde_json::from_str(value).unwrap_or_else(|_| Value::from(value));
         faults.insert(field.to_owned(), value);
     }
     Ok(Value::Object(faults))
 }
 
-fn pair(text: &str) -> Result<(&str, &str)> {
+fn name_and_value(text: &str) -> Result<(&str, &str)> {
     text.split_once('=').ok_or_else(|| eyre!("`{text}` is not of the form NAME=VALUE"))
 }
--- a/crates/cli/tests/operating.rs
+++ b/crates/cli/tests/operating.rs
@@ -22,8 +22,8 @@
     let page = operators_page();
     let entry = serde_yaml_ng::to_string(&conf::settings::Entry::default());
     let agent = serde_yaml_ng::to_string(&conf::settings::Agent::default());
-    assert_eq!(block(&page, "settings of an entry"), entry.expect("settings are YAML"));
-    assert_eq!(block(&page, "settings of an agent"), agent.expect("settings are YAML"));
+    assert_eq!(block(&page, "settings of an entry"), entry.expect("settings can be serialized"));
+    assert_eq!(block(&page, "settings of an agent"), agent.expect("settings can be serialized"));
 }
 
 /// Collects the events of all log calls in a folder's sources.
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -44,7 +44,7 @@
 
 /// The kind of a resource; its other fields are ignored.
 #[derive(Deserialize)]
-struct Head {
+struct KindOnly {
     kind: Kind,
 }
 
@@ -62,7 +62,7 @@
 
 fn resource(document: &Document) -> Result<Resource> {
     let text = &document.text;
-    match parse::<Head>(text)?.kind {
+    match parse::<KindOnly>(text)?.kind {
         Kind::Model => parse::<Typed<Model>>(text).map(drop)?,
         Kind::Adapter => parse::<Typed<Adapter>>(text).map(drop)?,
         Kind::Version => parse::<Typed<Version>>(text).map(drop)?,
--- a/crates/conf/src/resource.rs
+++ b/crates/conf/src/resource.rs
@@ -161,7 +161,7 @@
     Leaving,
 }
 
-/// An engine, or an instance of a plain service, with the agent beside it.
+/// An engine, or an instance of a plain service, with its agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -26,15 +26,15 @@
 #[test]
 fn documents_are_read_whatever_separates_them() {
     let text = "---\n# nothing\n---\nkind: Model\nname: a\nspec: {}\n--- # b\nkind: Model\nname: b\nspec: {}\n---\n";
-    let all = check::resources(text).expect("the file is right");
+    let all = check::resources(text).expect("the file is valid");
     assert_eq!(all.iter().map(|r| r.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
-    assert_eq!(all, conf::Resource::parse_all(text).expect("the file is right"));
+    assert_eq!(all, conf::Resource::parse_all(text).expect("the file is valid"));
 }
 
 // Settings of a trial on one machine are copied to a VM without setting a key. A process that
 // started like this would let anyone in the network run requests past all limits.
 #[test]
-fn a_process_that_strangers_can_reach_needs_a_key_and_operators_a_token() {
+fn a_process_that_other_machines_can_reach_needs_a_key_and_operators_a_token() {
     let digest = "0".repeat(64);
     let results = [
         "callers: 10.0.0.1:8080\n".to_owned(),
--- a/crates/target/src/http/engine.rs
+++ b/crates/target/src/http/engine.rs
@@ -40,10 +40,10 @@
         const STEP: &str = "generate";
         let body = completion_body(&job);
         let body = serde_json::to_vec(&body).map_err(|e| self.exchange.not_reached(STEP, &e))?;
-        let kind = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
+        let content_type = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
         let trace = Bytes::copy_from_slice(job.traceparent.as_bytes());
         let trace = (CompactString::const_new("traceparent"), trace);
-        let headers = std::iter::once(kind).chain((!trace.1.is_empty()).then_some(trace));
+        let headers = std::iter::once(content_type).chain((!trace.1.is_empty()).then_some(trace));
         let sent = self.exchange.send(STEP, "POST", "/v1/completions", headers, body.into());
         let response = sent.await?;
         let status = response.status();
@@ -63,8 +63,8 @@
         const STEP: &str = "order";
         let body = OrderBody { fence, order: order.clone() };
         let body = serde_json::to_vec(&body).map_err(|e| self.exchange.not_reached(STEP, &e))?;
-        let kind = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
-        let headers = std::iter::once(kind);
+        let content_type = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
+        let headers = std::iter::once(content_type);
         let sent = self.exchange.send(STEP, "POST", "/orders", headers, body.into());
         let response = sent.await?;
         let status = response.status();
--- a/crates/target/src/http/exchange.rs
+++ b/crates/target/src/http/exchange.rs
@@ -73,8 +73,8 @@
         path: &str,
         body: Bytes,
     ) -> Result<Bytes> {
-        let kind = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
-        let response = self.send(step, method, path, std::iter::once(kind), body).await?;
+        let content_type = (CompactString::const_new("content-type"), Bytes::from_static(JSON));
+        let response = self.send(step, method, path, std::iter::once(content_type), body).await?;
         let status = response.status();
         let body = self.collect(step, response.into_body()).await?;
         if status.is_success() { Ok(body) } else { Err(self.refused(step, status, &body)) }
