--- a/crates/policy/src/binding.rs
+++ b/crates/policy/src/binding.rs
@@ -80,7 +80,7 @@
 
 fn shortest(candidates: &[QueueState]) -> Placement {
     let indexed = candidates.iter().enumerate();
-    let least = indexed.min_by_key(|(_, server)| server.bound).map(|(index, _)| index);
+    let least = indexed.min_by_key(|(_, queue)| queue.bound).map(|(index, _)| index);
     Placement::Bound(least.unwrap_or(0))
 }
 
--- a/crates/policy/src/lease.rs
+++ b/crates/policy/src/lease.rs
@@ -86,9 +86,9 @@
         if self.is_held() {
             return true;
         }
-        let quiet = settings.duration + settings.grace;
+        let quiet_time = settings.duration + settings.grace;
         let quiet =
-            self.last_record.is_none_or(|last| now.saturating_sub(last.known_since) >= quiet);
+            self.last_record.is_none_or(|last| now.saturating_sub(last.known_since) >= quiet_time);
         quiet && due >= settings.overdue + settings.stagger * rank
     }
 }
--- a/crates/policy/src/limits.rs
+++ b/crates/policy/src/limits.rs
@@ -167,13 +167,13 @@
         let window = self.settings.window;
         let own = self.accounts.get(caller).map_or(0.0, |account| account.rate_at(now, window));
         let own = own.max(1.0);
-        let is_fresh = |report: &&PeerReport| {
+        let is_current = |report: &&PeerReport| {
             now.saturating_sub(report.received_at) <= self.settings.max_report_age
         };
-        let fresh: Vec<&PeerReport> = self.reports.values().filter(is_fresh).collect();
+        let current: Vec<&PeerReport> = self.reports.values().filter(is_current).collect();
         let rate = |report: &&PeerReport| report.usage.get(&key).map_or(0.0, |usage| usage.rate);
-        let others: f64 = fresh.iter().map(rate).sum();
-        let missing = (self.entries - 1).saturating_sub(fresh.len());
+        let others: f64 = current.iter().map(rate).sum();
+        let missing = (self.entries - 1).saturating_sub(current.len());
         let missing = float(u64::try_from(missing).unwrap_or(u64::MAX)) * own;
         (own / (own + others + missing)).max(self.settings.min_share)
     }
--- a/crates/policy/src/link.rs
+++ b/crates/policy/src/link.rs
@@ -2,7 +2,7 @@
 //!
 //! **Load pattern.** Entries have links of 10 to 1,000 Mbit/s and get the same share of callers. A
 //! burst of prompts of 9 KB, each sent to two engines, fills the small links. **Without this**, all
-//! traffic of such an entry wait behind the prompts, also calls and coordination messages of a few
+//! traffic of such an entry waits behind the prompts, also calls and coordination messages of a few
 //! bytes, while the links of its neighbours are nearly idle. **Approach.** Large requests take
 //! turns at the rate of the link, so that little is in flight at any time and small requests go in
 //! between. A request whose turn would come too late for its objective is refused at once, and its
--- a/crates/policy/src/pause.rs
+++ b/crates/policy/src/pause.rs
@@ -5,8 +5,8 @@
 //! attracts even more requests, since its rejections are quick and it looks idle, and each of them
 //! costs a retry. At the end of the pause all waiting requests arrive at once, and it rejects them
 //! again. **Approach.** Nothing is sent until the pause ends. Then single probe requests are sent,
-//! [`PROBE_INTERVAL`] apart, until one is answered without another pause. After that the number of
-//! requests that may be sent doubles in each [`DOUBLING_TIME`], for [`RAMP`].
+//! `PROBE_INTERVAL` apart, until one is answered without another pause. After that the number of
+//! requests that may be sent doubles in each `DOUBLING_TIME`, for `RAMP`.
 
 use crate::Time;
 use std::time::Duration;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -29,7 +29,7 @@
 pub struct Settings {
     /// Requests that run concurrently.
     pub slots: u32,
-    /// Most work that may wait, in units of [`Cost::work`]. At 1,000 per second the default is a
+    /// Maximum work that may wait, in units of [`Cost::work`]. At 1,000 per second the default is a
     /// minute; longer waits outlast any deadline.
     pub capacity: u64,
     /// Share of the work that urgent items may take while others wait.
@@ -188,11 +188,11 @@
     /// Returns the waiting work that would start before a new item of this caller and urgency.
     pub fn ahead(&self, caller: &str, urgent: bool) -> Cost {
         let start = self.start_tag(caller);
-        let first = |w: &&Waiting<T>| {
+        let goes_before = |w: &&Waiting<T>| {
             let same_class = w.item.urgent == urgent && w.start <= start;
             w.item.begun || same_class || (w.item.urgent && !urgent)
         };
-        self.waiting.iter().filter(first).fold(Cost::default(), |sum, w| sum + w.item.cost)
+        self.waiting.iter().filter(goes_before).fold(Cost::default(), |sum, w| sum + w.item.cost)
     }
 
     /// Adds an item, displacing others if that is fairer than refusing it.
--- a/crates/policy/src/retry_detection.rs
+++ b/crates/policy/src/retry_detection.rs
@@ -16,7 +16,7 @@
 
 /// Share of requests with the longest time from which it counts as the time that all callers send.
 /// If callers retry up to three times, a quarter of the requests are first attempts.
-const MIN_FRESH_SHARE: f64 = 0.15;
+const MIN_FIRST_ATTEMPT_SHARE: f64 = 0.15;
 
 /// How much less than the longest time a first attempt may carry, as a share of the objective. The
 /// network from caller to entry takes less, a refusal and the retry take more.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Window {
     requests: u32,
-    fresh: u32,
+    first_attempts: u32,
     longest: Duration,
 }
 
@@ -47,18 +47,19 @@
         let longest = self.previous.longest.max(self.current.longest);
         if left > longest {
             // Requests that counted as first attempts by the shorter time do not by this one.
-            (self.current.fresh, self.previous.fresh) = (0, 0);
+            (self.current.first_attempts, self.previous.first_attempts) = (0, 0);
         }
         let longest = longest.max(left);
         self.current.longest = self.current.longest.max(left);
-        let fresh = left + objective.mul_f64(TOLERANCE) >= longest;
+        let is_first_attempt = left + objective.mul_f64(TOLERANCE) >= longest;
         self.current.requests += 1;
-        self.current.fresh += u32::from(fresh);
-        !fresh && self.is_conclusive()
+        self.current.first_attempts += u32::from(is_first_attempt);
+        !is_first_attempt && self.is_conclusive()
     }
 
     fn is_conclusive(&self) -> bool {
         let requests = f64::from(self.current.requests + self.previous.requests);
-        f64::from(self.current.fresh + self.previous.fresh) >= MIN_FRESH_SHARE * requests
+        f64::from(self.current.first_attempts + self.previous.first_attempts)
+            >= MIN_FIRST_ATTEMPT_SHARE * requests
     }
 }
--- a/crates/policy/src/roles.rs
+++ b/crates/policy/src/roles.rs
@@ -228,9 +228,10 @@
     }
 
     fn decide(&mut self, engines: &[Engine], now: Time) -> Vec<Change> {
-        let fresh = self.observed.is_some_and(|at| now.saturating_sub(at) <= self.settings.stale);
+        let is_current =
+            self.observed.is_some_and(|at| now.saturating_sub(at) <= self.settings.stale);
         let mut ordered = Vec::new();
-        if !fresh || engines.iter().any(|engine| engine.changing) {
+        if !is_current || engines.iter().any(|engine| engine.changing) {
             return ordered;
         }
         for _ in 0..self.settings.at_once {
--- a/crates/policy/src/simulation/compare.rs
+++ b/crates/policy/src/simulation/compare.rs
@@ -8,7 +8,7 @@
 use super::workload::ArrivalStream;
 use crate::number::float;
 
-/// The setups under which every scenario is compared.
+/// Returns the setups under which every scenario is compared.
 pub fn setups() -> Vec<Setup> {
     vec![
         Setup::all(),
@@ -38,7 +38,7 @@
     table
 }
 
-/// The table row of one setup.
+/// Returns the table row of one setup.
 pub fn row(name: &str, results: &Results, classes: &[&str]) -> Vec<String> {
     let mut cells = vec![name.to_owned(), format!("{:.0}", results.goodput())];
     for class in classes {
@@ -61,7 +61,8 @@
     format!("{:.1} %", share * 100.0)
 }
 
-/// The maximum output tokens per second of mixed engines under the default stream of requests.
+/// Returns the maximum output tokens per second of mixed engines under the default stream of
+/// requests.
 pub fn capacity_tokens(engines: usize) -> f64 {
     let ArrivalStream { prompt, output, .. } = ArrivalStream::default();
     capacity(engines, prompt, output) * output
--- a/crates/policy/src/simulation/disaggregated.rs
+++ b/crates/policy/src/simulation/disaggregated.rs
@@ -56,14 +56,14 @@
 const LATE_UTILITY: f64 = 0.3;
 
 impl OutcomeCounts {
-    /// The mean utility of a request, from 0 to 1.
+    /// Returns the mean utility of a request, from 0 to 1.
     pub fn utility(&self) -> f64 {
         (float(self.in_time) + LATE_UTILITY * float(self.late)) / float(self.requests.max(1))
     }
 }
 
 impl Results {
-    /// The number of long prompts in time, as a fraction of the bound.
+    /// Returns the number of long prompts in time, as a fraction of the bound.
     pub fn share_of_bound(&self) -> f64 {
         float(self.long.in_time) / float(self.bound.max(1))
     }
--- a/crates/policy/src/simulation/disaggregated/engine.rs
+++ b/crates/policy/src/simulation/disaggregated/engine.rs
@@ -53,7 +53,7 @@
 const MEAN_CONTEXT: f64 = 2_400.0;
 
 impl EngineParameters {
-    /// Seconds of a step with half of the slots filled.
+    /// Returns the seconds of a step with half of the slots filled.
     pub(super) fn typical_step(&self) -> f64 {
         let streams = float(u64::try_from(self.slots).unwrap_or(u64::MAX)) / 2.0;
         self.step + streams * (self.step_per_stream + self.step_per_kilotoken * MEAN_CONTEXT / 1e3)
@@ -118,7 +118,7 @@
         Self { is_prefill, domain, ..Self::default() }
     }
 
-    /// The number of tokens of the longest cached prefix of a prompt.
+    /// Returns the number of tokens of the longest cached prefix of a prompt.
     pub fn cached_tokens(&self, request: &Request) -> u64 {
         let parts = request.shared.iter().take_while(|(id, _)| self.shared.contains_key(id));
         parts.map(|(_, tokens)| tokens).sum()
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The duration of the next step, in seconds.
+    /// Returns the duration of the next step, in seconds.
     pub fn step_time(&self, parameters: &EngineParameters) -> f64 {
         let context: u64 = self.running.iter().map(|s| s.request.tokens() + s.generated).sum();
         let streams = float(u64::try_from(self.running.len()).unwrap_or(u64::MAX));
@@ -194,7 +194,7 @@
     }
 }
 
-/// The priority of a stream: today's users give long prompts the higher one.
+/// Returns the priority of a stream: today's users give long prompts the higher one.
 fn priority(stream: &Stream) -> u8 {
     match stream.request.class {
         Class::Long => 0,
--- a/crates/policy/src/simulation/disaggregated/fleet.rs
+++ b/crates/policy/src/simulation/disaggregated/fleet.rs
@@ -94,8 +94,8 @@
     fleet.results
 }
 
-/// An upper bound for long prompts in time, if prefill engines never wait for updates and no shared
-/// part is prefilled twice. In each tenth of a second, demand that exceeds the slice and
+/// Returns an upper bound for long prompts in time, if prefill engines never wait for updates and
+/// no shared part is prefilled twice. In each tenth of a second, demand that exceeds the slice and
 /// [`prefill::max_duration`], half of the objective, is lost.
 fn bound(parameters: &EngineParameters, options: &Options, requests: &[Request]) -> u64 {
     const SLICE: f64 = 0.1;
@@ -119,7 +119,7 @@
     in_time
 }
 
-/// The number of prefill engines: the split for a load that has not been observed yet.
+/// Returns the number of prefill engines: the split for a load that has not been observed yet.
 fn prefill_engines(parameters: &EngineParameters, options: &Options) -> usize {
     let slots = u32::try_from(parameters.slots).unwrap_or(u32::MAX);
     let profile = EngineProfile {
@@ -191,7 +191,7 @@
         self.events.insert((at.to_bits(), self.sequence), event);
     }
 
-    /// The delay until a request of a caller can be placed, in seconds.
+    /// Returns the delay until a request of a caller can be placed, in seconds.
     fn placement_delay(&self) -> f64 {
         if self.options.coordinated {
             NETWORK_DELAY + COORDINATOR_ROUND_TRIP
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Queued prefill tokens and streams at an engine, as far as an entry knows them.
+    /// Returns the queued prefill tokens and streams at an engine, as far as an entry knows them.
     fn known_load(&self, entry: usize, at: usize) -> (u64, u32) {
         let others = (0..self.options.entries).filter(|other| *other != entry);
         let queued =
--- a/crates/policy/src/simulation/disaggregated/traffic.rs
+++ b/crates/policy/src/simulation/disaggregated/traffic.rs
@@ -38,16 +38,17 @@
 }
 
 impl Request {
-    /// The number of tokens of the prompt.
+    /// Returns the number of tokens of the prompt.
     pub fn tokens(&self) -> u64 {
         self.shared.iter().map(|(_, tokens)| tokens).sum::<u64>() + self.own
     }
 
-    /// The prompt in the form that decisions use.
+    /// Returns the prompt in the form that decisions use.
     pub fn prompt(&self, late: bool) -> Prompt {
-        let start = self.shared.iter().fold(0, |hash, (id, _)| crate::mix(hash, (*id).into()));
+        let prefix_hash =
+            self.shared.iter().fold(0, |hash, (id, _)| crate::mix(hash, (*id).into()));
         let objective = Duration::from_secs_f64(self.objective);
-        Prompt { prefix_hash: start, tokens: self.tokens(), objective, late }
+        Prompt { prefix_hash, tokens: self.tokens(), objective, late }
     }
 }
 
@@ -67,10 +68,10 @@
     pub end: f64,
 }
 
-/// A load that swings at two time scales: a phase of 14 s with more short and fewer long prompts
-/// and one with the reverse, both with waves of 2.8 s; and twice as many long prompts in the first
-/// five seconds of the second phase. The rates per engine are those of the larger of today's users
-/// on an ordinary day, for 14 engines.
+/// Returns a load that swings at two time scales: a phase of 14 s with more short and fewer long
+/// prompts and one with the reverse, both with waves of 2.8 s; and twice as many long prompts in
+/// the first five seconds of the second phase. The rates per engine are those of the larger of
+/// today's users on an ordinary day, for 14 engines.
 pub fn swinging() -> Traffic {
     let mut swings = Vec::new();
     let mut at = 0.0_f64;
--- a/crates/policy/src/simulation/engine.rs
+++ b/crates/policy/src/simulation/engine.rs
@@ -36,8 +36,8 @@
 /// The share of an engine's time that prefill takes while outputs need all of the rest.
 pub(super) const PREFILL_SHARE: f64 = 0.6;
 
-/// The time that prefill takes from outputs decoded beside it, relative to its own time, as in
-/// [`crate::roles::Settings::mixing`].
+/// Returns the time that prefill takes from outputs decoded beside it, relative to its own time, as
+/// in [`crate::roles::Settings::mixing`].
 pub(super) fn mixing(efficiency: f64) -> f64 {
     let prefill = PREFILL_SHARE * efficiency;
     let decode = (1.0 - PREFILL_SHARE) * efficiency;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The engine's rates while it only prefills or only decodes.
+    /// Returns the engine's rates while it only prefills or only decodes.
     pub(super) fn rates(&self) -> Rates {
         let Rates { prefill, decode } = Rates::default();
         Rates { prefill: prefill / self.setup.slowdown, decode: decode / self.setup.slowdown }
@@ -111,7 +111,7 @@
         self.up && !self.changing
     }
 
-    /// The remaining work of the running calls.
+    /// Returns the remaining work of the running calls.
     pub(super) fn running(&self) -> Cost {
         let tokens = |sum: f64| crate::number::count(sum);
         let prefill = self.prefill.iter().map(|running| running.remaining).sum();
@@ -156,7 +156,7 @@
         found.is_some()
     }
 
-    /// Tokens per second: of the current prefill, and of each output.
+    /// Returns the tokens per second of the current prefill, and of each output.
     fn token_rates(&self) -> (f64, f64) {
         let Rates { prefill, decode } = self.rates();
         let outputs = float(u64::try_from(self.decode.len()).unwrap_or(0));
@@ -196,7 +196,7 @@
         done
     }
 
-    /// The time at which a stage finishes next, if nothing changes before.
+    /// Returns the time at which a stage finishes next, if nothing changes before.
     pub(super) fn next_completion(&self) -> Option<f64> {
         let (prefill_rate, decode_rate) = self.token_rates();
         let prefill = self.prefill.front().map(|running| running.remaining.max(0.0) / prefill_rate);
--- a/crates/policy/src/simulation/late_binding.rs
+++ b/crates/policy/src/simulation/late_binding.rs
@@ -1,4 +1,4 @@
-//! Late binding: compares the strategies of [`crate::binding`] on the same arrivals, whose lengths
+//! Late binding: compares the policies of [`crate::binding`] on the same arrivals, whose lengths
 //! are unknown to them.
 //!
 //! Based on section 5.6 of Sanders, "Asynchronous Scheduling of Redundant Disk Arrays", with these
@@ -66,18 +66,18 @@
     pub messages: f64,
 }
 
-/// The loads at which strategies are compared.
+/// The loads at which policies are compared.
 pub const LOADS: [f64; 5] = [0.7, 0.8, 0.9, 0.95, 0.98];
 
-/// Compares all strategies at all loads.
+/// Compares all policies at all loads.
 pub fn compare(base: &Setup) -> Table {
     let head =
         ["way", "load", "wait mean", "p99", "p99.9", "delay mean", "p99", "p99.9", "messages"];
     let mut table = Table::new(&head);
     for load in LOADS {
-        for strategy in binding::all() {
-            let results = measure(&Setup { load, ..*base }, strategy.as_ref());
-            let mut cells = vec![strategy.name().to_owned(), format!("{load:.2}")];
+        for policy in binding::all() {
+            let results = measure(&Setup { load, ..*base }, policy.as_ref());
+            let mut cells = vec![policy.name().to_owned(), format!("{load:.2}")];
             let times = results.wait.into_iter().chain(results.delay);
             cells.extend(times.map(|time| format!("{time:.2}")));
             cells.push(format!("{:.2}", results.messages));
@@ -87,9 +87,9 @@
     table
 }
 
-/// Measures one strategy.
-pub fn measure(setup: &Setup, strategy: &dyn Binding) -> Results {
-    let mut run = Run::new(setup, strategy);
+/// Measures one policy.
+pub fn measure(setup: &Setup, policy: &dyn Binding) -> Results {
+    let mut run = Run::new(setup, policy);
     run.run();
     run.results()
 }
@@ -112,7 +112,7 @@
 
 struct Run<'a> {
     setup: &'a Setup,
-    strategy: &'a dyn Binding,
+    policy: &'a dyn Binding,
     requests: Vec<Request>,
     targets: Vec<Target>,
     ends: BinaryHeap<Reverse<(u64, usize)>>,
@@ -128,12 +128,12 @@
 const MAX_TICKS: u64 = 100_000_000_000;
 
 impl<'a> Run<'a> {
-    fn new(setup: &'a Setup, strategy: &'a dyn Binding) -> Self {
+    fn new(setup: &'a Setup, policy: &'a dyn Binding) -> Self {
         let histogram =
             || Histogram::new_with_max(MAX_TICKS, 3).expect("the bounds are valid constants");
         Self {
             setup,
-            strategy,
+            policy,
             requests: arrivals(setup),
             targets: (0..setup.targets).map(|_| Target::default()).collect(),
             ends: BinaryHeap::new(),
@@ -171,16 +171,16 @@
         if let Some(free) = queues.iter().position(|queue| queue.idle) {
             return self.start(id, candidates[free], now);
         }
-        let bound = match self.strategy.place(&queues) {
+        let bound = match self.policy.place(&queues) {
             Placement::Bound(index) => Some(index),
             Placement::Offered => None,
         };
         self.requests[id].bound = bound;
-        if self.strategy.notifies_all() {
+        if self.policy.notifies_all() {
             self.messages += 1;
         }
         for (index, target) in candidates.into_iter().enumerate() {
-            if self.strategy.notifies_all() || bound == Some(index) {
+            if self.policy.notifies_all() || bound == Some(index) {
                 self.targets[target].queue.push_back(id);
             }
         }
@@ -201,9 +201,9 @@
     fn start_next(&mut self, target: usize, now: f64) {
         let offers: Vec<Offer> =
             self.targets[target].queue.iter().map(|&id| self.offer(id, target)).collect();
-        let Some(index) = self.strategy.next(&offers) else { return };
+        let Some(index) = self.policy.next(&offers) else { return };
         let id = self.targets[target].queue[index];
-        let notified = self.strategy.notifies_all();
+        let notified = self.policy.notifies_all();
         let claimed = notified && self.bound_to(id) != Some(target);
         // A claim, its grant and the withdrawal at the other candidate, or only the withdrawal.
         self.messages += if claimed { 3 } else { u64::from(notified) };
@@ -244,7 +244,7 @@
     }
 }
 
-/// Generates the arrivals, which are the same for all strategies.
+/// Generates the arrivals, which are the same for all policies.
 fn arrivals(setup: &Setup) -> Vec<Request> {
     let mut random = Random::new(1);
     let slots = float(u64::try_from(setup.targets * setup.slots).unwrap_or(1));
--- a/crates/policy/src/simulation/oracle.rs
+++ b/crates/policy/src/simulation/oracle.rs
@@ -41,7 +41,7 @@
         Self { step, splits: search.best(&demands) }
     }
 
-    /// The number of role changes in the plan.
+    /// Returns the number of role changes in the plan.
     pub fn changes(&self) -> usize {
         let search = Search { engines: 0, mixing: 0.0, step: 0.0 };
         self.splits.windows(2).map(|pair| search.changes(pair[0], pair[1])).sum()
@@ -81,7 +81,7 @@
     }
 }
 
-/// The mean demand in each step.
+/// Returns the mean demand in each step.
 fn demands(arrivals: &[Arrival], step: f64, end: f64) -> Vec<Demand> {
     let steps = usize::try_from(count((end / step).ceil())).unwrap_or(0);
     let mut demands = vec![Demand::default(); steps];
@@ -102,7 +102,7 @@
 }
 
 impl Search {
-    /// The best split for each step, starting with all engines mixed.
+    /// Returns the best split for each step, starting with all engines mixed.
     fn best(&self, demands: &[Demand]) -> Vec<Split> {
         let start = Split { prefill: 0, decode: 0 };
         let mut values: HashMap<Split, f64> = HashMap::from([(start, 0.0)]);
@@ -134,14 +134,14 @@
         path
     }
 
-    /// All splits that one step can reach.
+    /// Returns all splits that one step can reach.
     fn reachable(&self, split: Split) -> Vec<Split> {
         let all = (0..=self.engines)
             .flat_map(|p| (0..=self.engines - p).map(move |d| Split { prefill: p, decode: d }));
         all.filter(|after| self.changes(split, *after) <= MAX_CHANGES).collect()
     }
 
-    /// The number of engines that change between two splits of the same pool.
+    /// Returns the number of engines that change between two splits of the same pool.
     fn changes(&self, from: Split, to: Split) -> usize {
         let prefill = to.prefill.cast_signed() - from.prefill.cast_signed();
         let decode = to.decode.cast_signed() - from.decode.cast_signed();
@@ -149,7 +149,8 @@
         [prefill, decode, mixed].iter().map(|n| n.unsigned_abs()).sum::<usize>() / 2
     }
 
-    /// The goodput of a step that changes one split to another, less the cost of its changes.
+    /// Returns the goodput of a step that changes one split to another, less the cost of its
+    /// changes.
     fn value(&self, from: Split, to: Split, demand: &Demand) -> f64 {
         let mixed = |split: Split| self.engines - split.prefill - split.decode;
         let rates = Rates::default();
--- a/crates/policy/src/simulation/pool.rs
+++ b/crates/policy/src/simulation/pool.rs
@@ -128,7 +128,7 @@
     results: Results,
 }
 
-/// The language model that all engines serve.
+/// Returns the hash of the name of the language model that all engines serve.
 fn model_name() -> Hash {
     crate::hash("lapis-small")
 }
--- a/crates/policy/src/simulation/pool/crash.rs
+++ b/crates/policy/src/simulation/pool/crash.rs
@@ -94,7 +94,8 @@
         self.progress(engine);
     }
 
-    /// Poison requests of a class are all the same request; other calls are all different.
+    /// Returns the fingerprint of the request: the same for all poison requests of a class, and a
+    /// different one for each other call.
     fn fingerprint(&self, call: CallIndex) -> u64 {
         let arrival = &self.scenario.arrivals[call];
         if arrival.poison { crate::hash(arrival.class) } else { u64::try_from(call).unwrap_or(0) }
@@ -149,7 +150,7 @@
         self.schedule_after(TRIAL_RETRY, Event::Submit(call));
     }
 
-    /// Whether a call is past its deadline; a call that has begun to stream never expires.
+    /// Returns whether a call is past its deadline; a call that has begun to stream never expires.
     fn is_expired(&self, call: CallIndex) -> bool {
         let arrival = &self.scenario.arrivals[call];
         let late = self.now > arrival.at + arrival.deadline;
--- a/crates/policy/src/simulation/pool/roles.rs
+++ b/crates/policy/src/simulation/pool/roles.rs
@@ -73,7 +73,7 @@
         self.progress(engine);
     }
 
-    /// Output tokens of a call that are still to be generated.
+    /// Returns the output tokens of a call that are still to be generated.
     pub(super) fn remaining_output(&self, call: CallIndex) -> f64 {
         self.calls[call]
             .remaining_output
--- a/crates/policy/src/simulation/pool/serve.rs
+++ b/crates/policy/src/simulation/pool/serve.rs
@@ -153,9 +153,9 @@
         self.admission.decide(&Request { cost, deadline }, &state, self.time()).map(|_| ())
     }
 
-    /// The work ahead of a call at an engine, and the rates at which it is done. At a prefill
-    /// engine the output of its prompts counts as well, at its share of the pool's decode rate:
-    /// prompts are held back until their output finds a slot.
+    /// Returns the work ahead of a call at an engine, and the rates at which it is done. At a
+    /// prefill engine the output of its prompts counts as well, at its share of the pool's decode
+    /// rate: prompts are held back until their output finds a slot.
     fn target_state(&self, call: CallIndex, index: usize) -> TargetState {
         let arrival = &self.scenario.arrivals[call];
         let engine = &self.engines[index];
@@ -170,13 +170,13 @@
         TargetState { ahead: ahead + prefill, rates, accepting: engine.is_available() }
     }
 
-    /// Output tokens per second of all engines that decode.
+    /// Returns the output tokens per second of all engines that decode.
     fn decode_rate(&self) -> f64 {
         let decodes = |engine: &&Engine| engine.is_available() && engine.role != Role::Prefill;
         self.engines.iter().filter(decodes).map(|engine| engine.rates().decode).sum()
     }
 
-    /// Whether a prefill may start, because its output will soon find a slot.
+    /// Returns whether a prefill may start, because its output will soon find a slot.
     fn may_start_prefill(&self) -> bool {
         let begun = self.engines.iter().map(|engine| engine.queue.backlog().begun);
         let begun = begun.fold(Cost::default(), |sum, cost| sum + cost);
--- a/crates/policy/src/simulation/random.rs
+++ b/crates/policy/src/simulation/random.rs
@@ -14,27 +14,28 @@
         Self(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    /// The underlying generator, to pass to a decision.
+    /// Returns the underlying generator, to pass to a decision.
     pub fn rng(&mut self) -> &mut dyn rand::Rng {
         &mut self.0
     }
 
-    /// A uniform number in the range from 0 to 1, 1 excluded.
+    /// Returns a uniform number in the range from 0 to 1, 1 excluded.
     pub fn unit(&mut self) -> f64 {
         unit(&mut self.0)
     }
 
-    /// A uniform index below `len`.
+    /// Returns a uniform index below `len`.
     pub fn below(&mut self, len: usize) -> usize {
         crate::number::below(len, &mut self.0)
     }
 
-    /// An exponentially distributed number: the time to the next arrival of a Poisson process.
+    /// Returns an exponentially distributed number: the time to the next arrival of a Poisson
+    /// process.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit()).ln()
     }
 
-    /// A log-normal number with this mean; a `sigma` of 0 gives the mean itself.
+    /// Returns a log-normal number with this mean; a `sigma` of 0 gives the mean itself.
     pub fn log_normal(&mut self, mean: f64, sigma: f64) -> f64 {
         let radius = (-2.0 * (1.0 - self.unit()).ln()).sqrt();
         let normal = radius * (std::f64::consts::TAU * self.unit()).cos();
--- a/crates/policy/src/simulation/results.rs
+++ b/crates/policy/src/simulation/results.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The fraction of the calls that completed in time.
+    /// Returns the fraction of the calls that completed in time.
     pub fn in_time_rate(&self) -> f64 {
         if self.calls == 0 { 0.0 } else { float(self.in_time) / float(self.calls) }
     }
@@ -131,12 +131,12 @@
         histogram.saturating_record(crate::number::count((first - arrival.at) * 1e3));
     }
 
-    /// Output tokens per second of calls completed in time.
+    /// Returns the output tokens per second of calls completed in time.
     pub fn goodput(&self) -> f64 {
         float(self.tokens) / self.seconds
     }
 
-    /// The counts over all classes.
+    /// Returns the counts over all classes.
     pub fn total(&self) -> Tally {
         self.classes.values().fold(Tally::default(), |sum, tally| Tally {
             calls: sum.calls + tally.calls,
@@ -148,13 +148,13 @@
         })
     }
 
-    /// The lowest fraction of calls completed in time of any caller of `class`.
+    /// Returns the lowest fraction of calls completed in time of any caller of `class`.
     pub fn worst_caller(&self, class: &str) -> f64 {
         let of_class = self.callers.iter().filter(|(caller, _)| caller.starts_with(class));
         of_class.map(|(_, tally)| tally.in_time_rate()).fold(1.0, f64::min)
     }
 
-    /// The 99th percentile of the time to first token of a class, in seconds.
+    /// Returns the 99th percentile of the time to first token of a class, in seconds.
     pub fn first_token_p99(&self, class: &str) -> f64 {
         self.first_token.get(class).map_or(0.0, |h| float(h.value_at_quantile(0.99)) / 1e3)
     }
--- a/crates/policy/src/simulation/scenario.rs
+++ b/crates/policy/src/simulation/scenario.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Scale(pub f64);
 
-/// The requests per second of this size that mixed engines can serve with all slots full.
+/// Returns the requests per second of this size that mixed engines can serve with all slots full.
 ///
 /// While an engine prefills, it decodes at the rest of its speed, less the cost of mixing.
 pub fn capacity(engines: usize, prompt: f64, output: f64) -> f64 {
@@ -33,7 +33,7 @@
     float(u64::try_from(engines).unwrap_or(0)) / seconds
 }
 
-/// The default stream of short requests, at this fraction of the capacity.
+/// Returns the default stream of short requests, at this fraction of the capacity.
 pub fn short(load: f64) -> ArrivalStream {
     let stream = ArrivalStream::default();
     let rate = load * capacity(ENGINES, stream.prompt, stream.output);
--- a/crates/policy/src/simulation/swing.rs
+++ b/crates/policy/src/simulation/swing.rs
@@ -26,13 +26,13 @@
 /// The share of prefill in the work: outside the swing, and at its peak.
 const PREFILL_SHARES: (f64, f64) = (0.2, 0.7);
 
-/// Seconds of engine time that a request needs, for prefill and for decode.
+/// Returns the seconds of engine time that a request needs, for prefill and for decode.
 fn engine_seconds((prompt, output): (f64, f64)) -> (f64, f64) {
     let Rates { prefill, decode } = Rates::default();
     (prompt / prefill, output / decode)
 }
 
-/// The share of prefill-heavy requests in the work that results in this share of prefill.
+/// Returns the share of prefill-heavy requests in the work that results in this share of prefill.
 fn prefill_heavy_share(share: f64) -> f64 {
     let prefill_share = |(prefill, decode): (f64, f64)| prefill / (prefill + decode);
     let (high, low) =
@@ -51,8 +51,8 @@
     pub efficiency: f64,
 }
 
-/// The scenario: the share of prefill in the work is 0.2, rises to 0.7 within a minute, stays there
-/// for a minute, and falls back.
+/// Returns the scenario: the share of prefill in the work is 0.2, rises to 0.7 within a minute,
+/// stays there for a minute, and falls back.
 pub fn swing(scale: Scale, pool: &Pool) -> Scenario {
     let minute = 60.0 * scale.0;
     let share = |at: f64| {
@@ -139,7 +139,7 @@
     table
 }
 
-/// The row of the offered load, which no setup can exceed.
+/// Returns the row of the offered load, which no setup can exceed.
 fn offered(scenario: &Scenario, bound: &Results) -> Vec<String> {
     let cost = |arrival: &Arrival| Cost::new(arrival.prompt, arrival.output);
     let offered =
--- a/crates/policy/src/simulation/workload.rs
+++ b/crates/policy/src/simulation/workload.rs
@@ -92,7 +92,7 @@
 }
 
 impl ArrivalStream {
-    /// The rate at a time.
+    /// Returns the rate at a time.
     pub(super) fn rate_at(&self, at: f64) -> f64 {
         let steps = self.rate.iter().rev();
         steps.clone().find(|(from, _)| *from <= at).map_or(0.0, |(_, rate)| *rate)
--- a/crates/policy/src/split.rs
+++ b/crates/policy/src/split.rs
@@ -66,7 +66,7 @@
     pub work: u32,
     /// The hash of its failure domain.
     pub domain: Hash,
-    /// Whether it can be reached and takes work.
+    /// Whether it can be reached and accepts work.
     pub available: bool,
 }
 
--- a/crates/policy/tests/connect_timeout.rs
+++ b/crates/policy/tests/connect_timeout.rs
@@ -10,8 +10,8 @@
     Duration::from_millis(ms)
 }
 
-/// A sixth of the engines stop responding at once. Each first attempt at one of them costs its
-/// caller time, whose first token is due within 150 ms and has to come from elsewhere.
+/// A sixth of the engines stop responding at once. Each first attempt at one of them takes time
+/// from a caller whose first token is due within 150 ms and has to come from another engine.
 #[test]
 fn unresponsive_target_costs_at_most_half_of_the_objective() {
     let mut timeouts = ConnectTimeouts::default();
--- a/crates/policy/tests/decisions.rs
+++ b/crates/policy/tests/decisions.rs
@@ -129,7 +129,7 @@
 #[test]
 fn late_binding_shortens_the_tail() {
     let setup = late_binding::Setup { requests: 20_000, ..late_binding::Setup::default() };
-    let p99 = |strategy: &dyn Binding| late_binding::measure(&setup, strategy).wait[1];
+    let p99 = |policy: &dyn Binding| late_binding::measure(&setup, policy).wait[1];
     let (eager, stealing, lazy) = (p99(&ShortestQueue), p99(&Stealing), p99(&LazyQueue));
     assert!(lazy < stealing && stealing < eager, "{lazy} {stealing} {eager}");
 }
--- a/crates/policy/tests/disaggregated.rs
+++ b/crates/policy/tests/disaggregated.rs
@@ -46,7 +46,7 @@
 }
 
 /// Refused callers retry within the same burst. If their requests, which are late already, are
-/// admitted like fresh ones, they make fresh ones late.
+/// admitted like first attempts, they make first attempts late.
 #[test]
 fn late_retries_behind_fresh_requests_bring_more_in_time() {
     let settings = prefill::Settings::default();
--- a/crates/policy/tests/groups.rs
+++ b/crates/policy/tests/groups.rs
@@ -99,8 +99,8 @@
 fn prompts_are_spread_over_groups_by_their_prefix() {
     let groups: Vec<_> = (0..5).map(|at| mix(hash("group"), at)).collect();
     let mut first = HashMap::new();
-    for start in 0..1_000 {
-        let order = order(&groups, mix(hash("start"), start));
+    for prefix in 0..1_000 {
+        let order = order(&groups, mix(hash("start"), prefix));
         assert_eq!(order.len(), 5);
         *first.entry(order[0]).or_insert(0) += 1;
     }
--- a/crates/policy/tests/lease.rs
+++ b/crates/policy/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases on a duty that first entry carries out at a time.
+//! Leases on a duty that one entry carries out at a time.
 
 use policy::Time;
 use policy::lease::{Lease, Settings};
@@ -19,7 +19,7 @@
 }
 
 /// The holder is killed. The next entry has to take over before the duty is missed, but not while
-/// the first first may still act.
+/// the previous holder may still act.
 #[test]
 fn next_entry_takes_over_from_an_unresponsive_holder() {
     let mut next = Lease::default();
@@ -32,8 +32,8 @@
 }
 
 /// A holder is frozen for a minute while another takes over, and resumes in the middle of its duty.
-/// It must neither act on its old lease nor claim it back at once: second changes within first
-/// lease are second holders.
+/// It must neither act on its old lease nor claim it back at once: a change of holder before a
+/// lease has expired would make two holders.
 #[test]
 fn resumed_holder_does_not_act() {
     let mut frozen = Lease::default();
@@ -47,7 +47,7 @@
     assert!(frozen.may_claim(&settings(), 0, at(10_000), at(67_100)));
 }
 
-/// The fencing token stays the same for first holder and grows with each new holder.
+/// The fencing token stays the same while one entry holds the lease and grows with each new holder.
 #[test]
 fn fencing_token_grows_with_each_holder() {
     let mut first = Lease::default();
--- a/crates/policy/tests/pauses.rs
+++ b/crates/policy/tests/pauses.rs
@@ -105,7 +105,7 @@
     let mut at_first: VecDeque<u64> = VecDeque::new();
     let mut busy: Vec<VecDeque<u64>> = vec![VecDeque::new(); TARGETS];
     let each_ms = TARGETS as f64 * RATE * DEMAND / 1e3;
-    let mut answers: VecDeque<(u64, usize, u64)> = VecDeque::new();
+    let mut responses: VecDeque<(u64, usize, u64)> = VecDeque::new();
     let mut sheds_until = 0;
     for now in 0..END {
         for queue in &mut busy {
@@ -113,8 +113,8 @@
                 queue.pop_front();
             }
         }
-        while answers.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, entry, sent)) = answers.pop_front() else { break };
+        while responses.front().is_some_and(|(at, ..)| *at <= now) {
+            let Some((_, entry, sent)) = responses.pop_front() else { break };
             let entry = &mut all[entry];
             entry.own.observe_response(ms(sent), ms(now));
             entry.has_recovered |= sent >= entry.until;
@@ -152,7 +152,7 @@
                 result.worst_in_pause = result.worst_in_pause.max(all[entry].in_pause);
             }
             if !sheds {
-                answers.push_back((now + WORK, entry, now));
+                responses.push_back((now + WORK, entry, now));
                 serve(&mut busy[0], now, &mut result);
                 continue;
             }
