--- a/crates/entry/src/heartbeat.rs
+++ b/crates/entry/src/heartbeat.rs
@@ -3,8 +3,8 @@
 //! If an agent's VM freezes or is partitioned, the connection can seem open for many minutes while
 //! its requests wait. Pinging each agent of a large fleet every second would exceed the 7 KB/s
 //! allowed for control traffic: 9.4 KB/s were measured for 32 agents. Any received frame therefore
-//! replaces a ping, unless a report is due; connections with open requests are checked every second,
-//! and others at a longer interval.
+//! replaces a ping, unless a report is due; connections with open requests are checked every
+//! second, and others at a longer interval.
 
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/entry/src/late_binding.rs
+++ b/crates/entry/src/late_binding.rs
@@ -43,7 +43,7 @@
     };
     match second {
         Some(second) if !first.idle && !second.idle && second.configured.peer.is_connected() => {
-            race(shared, request, &first, &second).await
+            start_at_first_free(shared, request, &first, &second).await
         }
         // An idle target starts at once; waiting for its offer would only add a round trip.
         Some(_) | None => {
@@ -54,7 +54,8 @@
     }
 }
 
-async fn race(
+/// Queues the prompt at both targets and begins it at the one that offers a slot first.
+async fn start_at_first_free(
     shared: &Shared,
     request: &Request,
     first: &SelectedTarget,
--- a/crates/entry/src/members.rs
+++ b/crates/entry/src/members.rs
@@ -19,7 +19,7 @@
 }
 
 impl Members {
-    /// Whether the VM of a target, or of its agent, is leaving.
+    /// Returns whether the VM of a target, or of its agent, is leaving.
     pub(crate) fn is_leaving(&self, target: &str) -> bool {
         let leaving = self.leaving.read().unwrap_or_else(PoisonError::into_inner);
         !leaving.is_empty() && leaving.contains(target)
--- a/crates/entry/src/outcome.rs
+++ b/crates/entry/src/outcome.rs
@@ -96,7 +96,7 @@
         };
     }
 
-    /// Whether another attempt is safe.
+    /// Returns whether another attempt is safe.
     pub(crate) fn may_retry(&self) -> bool {
         self.repeatable || !self.reached
     }
--- a/crates/entry/src/peer.rs
+++ b/crates/entry/src/peer.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the agent is connected.
+    /// Returns whether the agent is connected.
     pub(crate) fn is_connected(&self) -> bool {
         self.session.borrow().is_some()
     }
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether the connection may be closed because it is idle and not persistent.
+    /// Returns whether the connection may be closed because it is idle and not persistent.
     pub(crate) fn is_idle(&self, session: &Session) -> bool {
         let last_used = *self.last_used.lock().unwrap_or_else(PoisonError::into_inner);
         let persistent = self.persistent.load(Ordering::Relaxed);
--- a/crates/entry/src/reason.rs
+++ b/crates/entry/src/reason.rs
@@ -105,7 +105,7 @@
 }
 
 impl Reason {
-    /// Whether the request may succeed at another target after a failure for this reason.
+    /// Returns whether the request may succeed at another target after a failure for this reason.
     pub(crate) fn may_succeed_elsewhere(self) -> bool {
         match self {
             Reason::NoTarget
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Whether the reason is a failure of the target, rather than overload or a wrong choice of
-    /// target.
+    /// Returns whether the reason is a failure of the target, rather than overload or a wrong
+    /// choice of target.
     pub(crate) fn is_target_fault(self) -> bool {
         matches!(
             self,
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -216,9 +216,10 @@
 
     /// Refuses a request early if it can't begin in time after the work ahead of it at `targets`.
     ///
-    /// Urgent requests are exempt: they go ahead of that work, and only the agent knows what is ahead
-    /// of them. When they were judged by all work ahead, a fleet at three times its load refused 95
-    /// of 100 urgent requests as too late that would have begun within 60 ms.
+    /// Urgent requests are exempt: they go ahead of that work, and only the agent knows what is
+    /// ahead of them. When they were judged by all work ahead, a fleet with three times the load
+    /// that it can serve refused 95 of 100 urgent requests as too late that would have begun within
+    /// 60 ms.
     fn admit(&self, targets: &[SelectedTarget], remaining: Duration) -> Result<(), Failure> {
         let cost =
             Cost::new(u64::from(self.prompt.prompt_tokens), u64::from(self.prompt.expected_tokens));
@@ -249,7 +250,7 @@
         }
     }
 
-    /// Whether this resumes another entry's response and has received no piece of it yet.
+    /// Returns whether this resumes another entry's response and has received no piece of it yet.
     fn is_unanswered_attach(&self) -> bool {
         !self.resumable && self.prompt.resume_tokens == self.initial_tokens
     }
@@ -407,12 +408,12 @@
     }
 }
 
-/// Whether the target crashed during the attempt, rather than being unresponsive.
+/// Returns whether the target crashed during the attempt, rather than being unresponsive.
 fn crashed(failure: &Failure) -> bool {
     failure.reason == Reason::TargetBroken && failure.progress == Progress::Started
 }
 
-/// Whether a planned change interrupted the attempt at a target that keeps its KV cache.
+/// Returns whether a planned change interrupted the attempt at a target that keeps its KV cache.
 fn keeps_kv_cache(failure: &Failure) -> bool {
     failure.reason == Reason::Draining && failure.progress == Progress::Started
 }
--- a/crates/entry/src/routes/admission.rs
+++ b/crates/entry/src/routes/admission.rs
@@ -127,8 +127,8 @@
     xxh3_64_with_seed(body, seed)
 }
 
-/// Whether a text has the form of the W3C `traceparent` header: version, trace id, parent id,
-/// flags.
+/// Returns whether a text has the form of the W3C `traceparent` header: version, trace id, parent
+/// id, flags.
 fn is_traceparent(text: &str) -> bool {
     let parts: Vec<_> = text.split('-').collect();
     let hex = |part: &str, length: usize| {
--- a/crates/entry/src/view.rs
+++ b/crates/entry/src/view.rs
@@ -147,7 +147,7 @@
 }
 
 impl ConfiguredTarget {
-    /// Whether the configuration allows new work for this target.
+    /// Returns whether the configuration allows new work for this target.
     pub(crate) fn is_active(&self) -> bool {
         match self.spec.phase {
             Phase::Active => true,
