--- a/crates/agent/src/answer.rs
+++ b/crates/agent/src/answer.rs
@@ -16,7 +16,7 @@
 /// Unread bytes from which the job waits. One second of the fastest stream is far below this.
 const MAX_UNREAD_BYTES: u64 = 256 * 1024;
 
-/// Most bytes of one answer that are retained for [`Answer::attach`] after they were read: eight
+/// Maximum bytes of one answer that are retained for [`Answer::attach`] after they were read: eight
 /// times the longest answer in a context of 32,768 tokens at 4 bytes per token.
 const MAX_RETAINED_BYTES: u64 = 1024 * 1024;
 
@@ -24,7 +24,7 @@
 const STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// How long an answer is still generated after the connection to its entry was lost, so that
-/// another entry can continue to read it. Clients reconnect within seconds.
+/// another entry can continue to read it. Callers reconnect within seconds.
 pub(crate) const GRACE_PERIOD: Duration = Duration::from_secs(10);
 
 /// The answer to one request.
--- a/crates/agent/src/answers.rs
+++ b/crates/agent/src/answers.rs
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a finished answer is retained. A client that lost the connection to its entry
+/// How long a finished answer is retained. A caller that lost the connection to its entry
 /// reconnects well before.
 const RETENTION: Duration = Duration::from_secs(60);
 
-/// Most bytes of finished answers and KV caches that are retained: an eighth of an agent's 256 MB.
+/// Maximum bytes of finished answers and KV caches that are retained: an eighth of an agent's 256
+/// MB.
 const MAX_BYTES: u64 = 32 * 1024 * 1024;
 
 /// Memory that a retained answer needs besides its text, which is most of it for short answers.
--- a/crates/agent/src/asks.rs
+++ b/crates/agent/src/asks.rs
@@ -1,4 +1,4 @@
-//! Replies to requests of peers that belong to no attempt.
+//! Replies to queries of peers that belong to no attempt.
 
 use crate::shared::Shared;
 use crate::{Backend, bootstrap};
@@ -9,7 +9,7 @@
 /// How long the export of a KV cache may take.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Returns the reply to a request. Its body is empty if the requested data does not exist.
+/// Returns the reply to a query. Its body is empty if the requested data does not exist.
 pub(crate) async fn answer(shared: &Shared, ask: Ask) -> Reply {
     let body = match AskKind::try_from(ask.kind) {
         Ok(AskKind::Snapshot) => bootstrap::snapshot(shared),
--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -37,7 +37,7 @@
     begin: Option<oneshot::Sender<()>>,
 }
 
-/// Most open attempts of one connection: more than an entry sends to one target at the size that
+/// Maximum open attempts of one connection: more than an entry sends to one target at the size that
 /// the system is designed for, 4,700 requests per second over 390 entries, each open for minutes.
 const MAX_ATTEMPTS: usize = 4_096;
 
--- a/crates/agent/src/bootstrap.rs
+++ b/crates/agent/src/bootstrap.rs
@@ -16,7 +16,7 @@
 /// How long to wait for the reply of one agent.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Interval between requests to agents while the log is unavailable.
+/// Interval between queries to agents while the log is unavailable.
 const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state counts as current if it was complete up to the end of the log this recently.
--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -32,7 +32,7 @@
 /// How long a stopping agent waits until its last frames are sent to entries.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// Divisor of the time for a graceful stop: this fraction of it is reserved for migrating streams.
+/// The time for a graceful stop is divided by this; the quotient is reserved for migrating streams.
 const MIGRATION_SHARE: u32 = 4;
 
 /// Delay after a failed accept.
--- a/crates/agent/src/health.rs
+++ b/crates/agent/src/health.rs
@@ -13,11 +13,11 @@
     /// Not checked yet.
     #[default]
     Unknown,
-    /// The target does not answer.
+    /// The target does not respond.
     Down,
-    /// An engine that answers.
+    /// An engine that responds.
     Engine(Status),
-    /// A service that answers.
+    /// A service that responds.
     Service,
 }
 
--- a/crates/agent/src/keyed_calls.rs
+++ b/crates/agent/src/keyed_calls.rs
@@ -49,7 +49,7 @@
     ReleaseKey(u64),
 }
 
-/// Most calls in flight, including those whose outcome is not recorded in the log yet.
+/// Maximum calls in flight, including those whose outcome is not recorded in the log yet.
 const MAX_IN_FLIGHT: usize = 4_096;
 
 /// Maximum age of the view of the log that proves a key unused by an earlier holder.
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -129,7 +129,7 @@
     }
 }
 
-/// Waits until the engine answers and is not busy with an order, and returns its status.
+/// Waits until the engine responds and is not busy with an order, and returns its status.
 async fn wait_for_status(shared: &Shared, engine: &dyn Engine) -> Status {
     loop {
         match engine.status().await {
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -1,12 +1,11 @@
-//! Sends a single request to another agent.
+//! Sends a single query to another agent.
 
 use crate::shared::Shared;
 use bytes::Bytes;
 use compact_str::CompactString;
 use wire::{Ask, AskKind, Body, Connection, Error, Frame};
 
-/// Sends the request over a separate connection, since such requests are rare and their replies
-/// large.
+/// Sends the query over a separate connection, since such queries are rare and their replies large.
 pub(crate) async fn ask(
     shared: &Shared,
     address: &CompactString,
--- a/crates/agent/src/sightings.rs
+++ b/crates/agent/src/sightings.rs
@@ -1,4 +1,5 @@
-//! Membership and offered demand as reported by entries, for peers that request them.
+//! The sightings of entries: the status that each entry has last sent, with the demand of its
+//! callers. Peers request them to find out which entries are live.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
@@ -9,7 +10,7 @@
 /// How long a sighting is valid. Entries send pings every few seconds.
 const MAX_AGE: Duration = Duration::from_secs(60);
 
-/// Most entries that are tracked: more than twice the 390 nodes that the system is designed for.
+/// Maximum number of tracked entries: more than twice the 390 that the system is designed for.
 const MAX_ENTRIES: usize = 1_024;
 
 /// The latest sighting of each entry.
--- a/crates/agent/src/suspects.rs
+++ b/crates/agent/src/suspects.rs
@@ -28,12 +28,12 @@
     incarnation: u64,
 }
 
-/// Most requests that are recorded for one crash. Engines prefill a prompt before they fail on it,
-/// so the request that caused the crash is among the latest, and records of a batch of hundreds of
-/// others would flood the log.
+/// Maximum number of requests recorded for one crash. Engines prefill a prompt before they fail on
+/// it, so the request that caused the crash is among the latest, and records of a batch of hundreds
+/// of others would flood the log.
 const MAX_PER_CRASH: usize = 64;
 
-/// Most fingerprints that are tracked locally.
+/// Maximum number of fingerprints tracked locally.
 const MAX_FINGERPRINTS: usize = 4_096;
 
 /// How long a refusal is delayed until its record is appended, so that a retry at another target
--- a/crates/agent/tests/calls.rs
+++ b/crates/agent/tests/calls.rs
@@ -118,7 +118,7 @@
     assert_eq!(total_runs(&service), 2);
 }
 
-// A client with a short timeout retries its transfer through another entry while the first attempt
+// A caller with a short timeout retries its transfer through another entry while the first attempt
 // is still running. The call runs once and both attempts get its answer.
 #[tokio::test(start_paused = true)]
 async fn same_key_through_two_entries_concurrently_runs_once() {
--- a/crates/agent/tests/streams.rs
+++ b/crates/agent/tests/streams.rs
@@ -57,7 +57,7 @@
     assert_eq!(running(&engine).await, 0, "the job is cancelled at the engine");
 }
 
-// An entry is killed during a stream, and the client reconnects through another entry with the id
+// An entry is killed during a stream, and the caller reconnects through another entry with the id
 // of the last event that it received. It must get the rest of the same answer, and other callers
 // must not.
 #[tokio::test(start_paused = true)]
