--- a/crates/admin/src/audit.rs
+++ b/crates/admin/src/audit.rs
@@ -40,7 +40,7 @@
     }
 }
 
-fn config_entry(entry: &state::config::Audit) -> AuditEntry {
+fn config_entry(entry: &state::config::AuditEntry) -> AuditEntry {
     let spec = |text: &Option<String>| -> Option<Value> {
         text.as_ref().and_then(|text| serde_json::from_str(text).ok())
     };
@@ -65,7 +65,7 @@
     }
 }
 
-fn system_entry(entry: &state::system::Act) -> AuditEntry {
+fn system_entry(entry: &state::system::AuditEntry) -> AuditEntry {
     let outcome = if entry.valid { "accepted" } else { "void: its author did not hold the scope" };
     AuditEntry {
         stream: plat::SYSTEM_STREAM.into(),
--- a/crates/agent/src/asks.rs
+++ b/crates/agent/src/asks.rs
@@ -4,17 +4,17 @@
 use crate::{Backend, bootstrap};
 use bytes::Bytes;
 use std::time::Duration;
-use wire::{Ask, AskKind, Reply};
+use wire::{Query, QueryKind, Reply};
 
 /// How long the export of a KV cache may take.
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Returns the reply to a query. Its body is empty if the requested data does not exist.
-pub(crate) async fn answer(shared: &Shared, ask: Ask) -> Reply {
-    let body = match AskKind::try_from(ask.kind) {
-        Ok(AskKind::Snapshot) => bootstrap::snapshot(shared),
-        Ok(AskKind::Explain) => explain(shared, &ask.body),
-        Ok(AskKind::KvCache) => kv_cache(shared, &ask.body).await.unwrap_or_default(),
+pub(crate) async fn answer(shared: &Shared, ask: Query) -> Reply {
+    let body = match QueryKind::try_from(ask.kind) {
+        Ok(QueryKind::Snapshot) => bootstrap::snapshot(shared),
+        Ok(QueryKind::Explain) => explain(shared, &ask.body),
+        Ok(QueryKind::KvCache) => kv_cache(shared, &ask.body).await.unwrap_or_default(),
         // A kind of a newer version, which is unknown here.
         Err(_) => Bytes::new(),
     };
--- a/crates/agent/src/bootstrap.rs
+++ b/crates/agent/src/bootstrap.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use wire::AskKind;
+use wire::QueryKind;
 
 /// How long to wait for the reply of one agent.
 const ASK_TIMEOUT: Duration = Duration::from_secs(1);
@@ -59,7 +59,7 @@
     }
 
     async fn ask(&self, address: &CompactString) {
-        let ask = peer::ask(&self.shared, address, AskKind::Snapshot, Bytes::new());
+        let ask = peer::ask(&self.shared, address, QueryKind::Snapshot, Bytes::new());
         let Ok(Ok(reply)) = tokio::time::timeout(ASK_TIMEOUT, ask).await else { return };
         let Ok(snapshots) = Snapshots::read(address, &reply) else {
             return log::warn!(peer = address.as_str(); "state-unreadable");
--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -84,8 +84,8 @@
     let stream = plat::calls_stream(&shared.target);
     LeaseSettings::new(stream, shared.scope(), shared.incarnation)
         .lease(lease)
-        .longest_order(max_action)
+        .grace_period(max_action)
         // Only a replacement of this agent competes for the claim, and an agent that starts must
         // not refuse its first calls for longer than the append takes.
-        .spread(Duration::ZERO)
+        .jitter(Duration::ZERO)
 }
--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -89,8 +89,8 @@
             shared: shared.clone(),
             peers: settings.peers.clone(),
             health: follower.health(),
-            config: follower.offers(),
-            system: system.offers(),
+            config: follower.peer_states(),
+            system: system.peer_states(),
         };
         tasks.spawn(bootstrap.run());
         tasks.spawn(follower.run());
--- a/crates/agent/src/kv.rs
+++ b/crates/agent/src/kv.rs
@@ -8,7 +8,7 @@
 use compact_str::CompactString;
 use conf::{Kind, Spec};
 use std::time::Duration;
-use wire::AskKind;
+use wire::QueryKind;
 
 /// How long the fetch of a cache may take. A new prefill of even a long prompt takes a few seconds.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(3);
@@ -18,7 +18,7 @@
 pub(crate) async fn fetch(shared: &Shared, source: &str, request: &str) -> Option<Bytes> {
     let address = agent_address(shared, source)?;
     let body = Bytes::copy_from_slice(request.as_bytes());
-    let ask = peer::ask(shared, &address, AskKind::KvCache, body);
+    let ask = peer::ask(shared, &address, QueryKind::KvCache, body);
     match tokio::time::timeout(FETCH_TIMEOUT, ask).await {
         Ok(Ok(cache)) if cache.is_empty() => None,
         Ok(Ok(cache)) => Some(cache),
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -3,20 +3,20 @@
 use crate::shared::Shared;
 use bytes::Bytes;
 use compact_str::CompactString;
-use wire::{Ask, AskKind, Body, Connection, Error, Frame};
+use wire::{Body, Connection, Error, Frame, Query, QueryKind};
 
 /// Sends the query over a separate connection, since such queries are rare and their replies large.
 pub(crate) async fn ask(
     shared: &Shared,
     address: &CompactString,
-    kind: AskKind,
+    kind: QueryKind,
     body: Bytes,
 ) -> wire::Result<Bytes> {
     let pipe = shared.dialler.dial(address).await?;
     let mut connection = Connection::new(pipe, address.clone());
     wire::connect(&mut connection, &shared.key, shared.hello()).await?;
-    connection.send(Frame::new(Body::Ask(Ask { id: 1, kind: kind.into(), body }))).await?;
-    let frame = connection.expect("ask").await?;
+    connection.send(Frame::new(Body::Query(Query { id: 1, kind: kind.into(), body }))).await?;
+    let frame = connection.receive("ask").await?;
     match frame.body {
         Some(Body::Reply(reply)) => Ok(reply.body),
         _ => Err(Error::Protocol {
--- a/crates/agent/src/plan.rs
+++ b/crates/agent/src/plan.rs
@@ -3,7 +3,7 @@
 use crate::shared::Shared;
 use compact_str::CompactString;
 use conf::resource::Phase;
-use duty::{Context, Dial, Followed, Planner, Roles};
+use duty::{Context, Followed, NetworkFleet, Planner, Roles};
 use policy::{hash, mix};
 use std::sync::Arc;
 use std::time::Duration;
@@ -62,11 +62,11 @@
 
 fn planner(shared: &Shared, (pool, delay): &Candidacy) -> Planner {
     let (dialler, key) = (shared.dialler.clone(), shared.key.clone());
-    let fleet = Dial::new(dialler, key, shared.name.clone(), shared.incarnation);
+    let fleet = NetworkFleet::new(dialler, key, shared.name.clone(), shared.incarnation);
     Planner::new(Context {
         pool: pool.clone(),
         incarnation: shared.incarnation,
-        patience: *delay,
+        fallback_delay: *delay,
         appender: shared.appender.clone(),
         config: Followed { state: shared.config.clone(), health: shared.config_health.clone() },
         system: Followed { state: shared.system.clone(), health: shared.system_health.clone() },
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use wire::{Ask, Body, Connection, Frame, Hello, Ping, Pipe, Pong, Reader, Writer};
+use wire::{Body, Connection, Frame, Hello, Ping, Pipe, Pong, Query, Reader, Writer};
 
 /// The state of one connection.
 pub(crate) struct Session {
@@ -91,7 +91,7 @@
                     return "the peer is silent".to_owned();
                 }
                 Err(_) => {
-                    let ping = Ping { nonce: rand::random(), sender: None, wants_sightings: false };
+                    let ping = Ping { nonce: rand::random(), sender: None, include_entries: false };
                     // A full outbox does not matter: the idle timeout counts received frames only.
                     let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
                 }
@@ -108,7 +108,7 @@
             Some(Body::Credit(credit)) => self.attempts.credit(credit),
             Some(Body::Attach(attach)) => self.attempts.attach(attach).await,
             Some(Body::Ping(ping)) => return self.pong(ping).await,
-            Some(Body::Ask(ask)) => self.ask(ask),
+            Some(Body::Query(ask)) => self.ask(ask),
             // They only show that the peer is alive, which `read` has recorded.
             Some(Body::Pong(_) | Body::Reply(_)) => {}
             Some(Body::Hello(_) | Body::Proof(_) | Body::Event(_)) => {
@@ -125,14 +125,14 @@
             self.shared.sightings.record(sender);
         }
         let sightings =
-            if ping.wants_sightings { self.shared.sightings.list() } else { Vec::new() };
+            if ping.include_entries { self.shared.sightings.list() } else { Vec::new() };
         let load = Some(self.shared.load());
-        let pong = Pong { nonce: ping.nonce, load, sightings };
+        let pong = Pong { nonce: ping.nonce, load, entries: sightings };
         self.outbox.send(Frame::new(Body::Pong(pong))).await.is_ok()
     }
 
     /// Replies in a separate task, since the engine may take long.
-    fn ask(&self, ask: Ask) {
+    fn ask(&self, ask: Query) {
         let (shared, outbox) = (self.shared.clone(), self.outbox.clone());
         self.tasks.spawn_job(async move {
             let reply = asks::answer(&shared, ask).await;
--- a/crates/agent/src/sightings.rs
+++ b/crates/agent/src/sightings.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
-use wire::Sighting;
+use wire::EntryStatus;
 
 /// How long a sighting is valid. Entries send pings every few seconds.
 const MAX_AGE: Duration = Duration::from_secs(60);
@@ -16,12 +16,12 @@
 /// The latest sighting of each entry.
 #[derive(Default)]
 pub(crate) struct Sightings {
-    by_entry: Mutex<HashMap<String, (Sighting, Instant)>>,
+    by_entry: Mutex<HashMap<String, (EntryStatus, Instant)>>,
 }
 
 impl Sightings {
     /// Records the sighting that an entry has sent.
-    pub(crate) fn record(&self, sighting: Sighting) {
+    pub(crate) fn record(&self, sighting: EntryStatus) {
         let mut by_entry = self.lock();
         by_entry.retain(|_, (_, at)| at.elapsed() <= MAX_AGE);
         if by_entry.len() < MAX_ENTRIES || by_entry.contains_key(&sighting.entry) {
@@ -30,19 +30,19 @@
     }
 
     /// Returns the valid sightings with their age, ordered by the entry's name.
-    pub(crate) fn list(&self) -> Vec<Sighting> {
+    pub(crate) fn list(&self) -> Vec<EntryStatus> {
         let by_entry = self.lock();
         let recent = by_entry.values().filter(|(_, at)| at.elapsed() <= MAX_AGE);
         let aged = recent.map(|(sighting, at)| {
             let age = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
-            Sighting { age_ms: sighting.age_ms.saturating_add(age), ..sighting.clone() }
+            EntryStatus { age_ms: sighting.age_ms.saturating_add(age), ..sighting.clone() }
         });
         let mut list: Vec<_> = aged.collect();
         list.sort_by(|a, b| a.entry.cmp(&b.entry));
         list
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<String, (Sighting, Instant)>> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<String, (EntryStatus, Instant)>> {
         self.by_entry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::{
     Attach, Begin, Body, Cancel, Connection, Credit, Dialler, Event, EventKind, Frame, Hello, Key,
-    Memory, Pong, Prompt, Refusal, Request, Submit, Work,
+    MemoryNetwork, Pong, Prompt, Refusal, Request, Submit, Work,
 };
 
 pub const MODEL: &str = "lapis-small";
@@ -28,7 +28,7 @@
 #[derive(Default)]
 pub struct Harness {
     pub log: MemoryLog,
-    pub network: Memory,
+    pub network: MemoryNetwork,
 }
 
 /// A running agent.
@@ -187,13 +187,13 @@
     /// Returns the next event of any attempt, and answers pings until then.
     pub async fn event(&mut self) -> Event {
         loop {
-            let frame = tokio::time::timeout(TIMEOUT, self.connection.expect("event")).await;
+            let frame = tokio::time::timeout(TIMEOUT, self.connection.receive("event")).await;
             let frame =
                 frame.expect("an event within the timeout").expect("the connection is open");
             match frame.body {
                 Some(Body::Event(event)) => return event,
                 Some(Body::Ping(ping)) => {
-                    let pong = Pong { nonce: ping.nonce, load: None, sightings: Vec::new() };
+                    let pong = Pong { nonce: ping.nonce, load: None, entries: Vec::new() };
                     self.send(Body::Pong(pong)).await;
                 }
                 _ => {}
--- a/crates/agent/tests/streams.rs
+++ b/crates/agent/tests/streams.rs
@@ -5,7 +5,7 @@
 use common::{Harness, prompt, settle};
 use std::time::Duration;
 use target::Engine;
-use wire::{Body, EventKind, Ping, Progress, Sighting};
+use wire::{Body, EntryStatus, EventKind, Ping, Progress};
 
 async fn running(engine: &fake::MemoryEngine) -> u32 {
     engine.status().await.expect("the engine is up").running
@@ -147,8 +147,9 @@
     let harness = Harness::default();
     let (_engine, _agent) = harness.engine("engine-1", 4).await;
     let mut entry = harness.entry("entry-1", "engine-1").await;
-    let sender = Sighting { entry: "entry-1".into(), prompt_rate: 900, ..Sighting::default() };
-    entry.send(Body::Ping(Ping { nonce: 1, sender: Some(sender), wants_sightings: false })).await;
+    let sender =
+        EntryStatus { entry: "entry-1".into(), prompt_rate: 900, ..EntryStatus::default() };
+    entry.send(Body::Ping(Ping { nonce: 1, sender: Some(sender), include_entries: false })).await;
     settle().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     let seen = sightings(&harness).await;
@@ -159,13 +160,13 @@
     assert_eq!(sightings(&harness).await, []);
 }
 
-async fn sightings(harness: &Harness) -> Vec<Sighting> {
+async fn sightings(harness: &Harness) -> Vec<EntryStatus> {
     let mut entry = harness.entry("entry-2", "engine-1").await;
-    entry.send(Body::Ping(Ping { nonce: 2, sender: None, wants_sightings: true })).await;
+    entry.send(Body::Ping(Ping { nonce: 2, sender: None, include_entries: true })).await;
     loop {
-        let frame = entry.connection.expect("pong").await.expect("the connection is open");
+        let frame = entry.connection.receive("pong").await.expect("the connection is open");
         if let Some(Body::Pong(pong)) = frame.body {
-            return pong.sightings;
+            return pong.entries;
         }
     }
 }
--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -20,7 +20,7 @@
 use crate::duty::metering;
 use crate::shared::Shared;
 use async_trait::async_trait;
-use plat::epoch::{Epoch, epoch, place};
+use plat::epoch::{Epoch, epoch, index};
 use plat::{Entry, KeyedLog, Offset};
 use policy::lease::{self, Lease};
 use policy::usage::{Counts, Incarnation, WindowIndex};
@@ -197,7 +197,7 @@
         {
             Err(plat::Error::Gone { oldest, .. }) if epoch(oldest) > epoch(self.stream_end) => {
                 log::warn!(target: "store", stream = STREAM, epoch = epoch(oldest),
-                    read = place(self.stream_end); "stream is read anew");
+                    read = index(self.stream_end); "stream is read anew");
                 (self.stream_end, self.append_started) = (oldest, None);
                 self.lease.relinquish(oldest, since_boot());
                 return Ok(());
@@ -278,7 +278,7 @@
         let offset =
             match self.log.append_at(STREAM, self.stream_end, record::encode(&record)).await {
                 // The record that stands there instead is read before anything else is done.
-                Err(error @ (plat::Error::Moved { .. } | plat::Error::Unsettled { .. })) => {
+                Err(error @ (plat::Error::Conflict { .. } | plat::Error::Unsettled { .. })) => {
                     return Err(error);
                 }
                 Err(error) => {
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -189,7 +189,7 @@
     fn restart(&mut self, oldest: Offset) {
         if epoch::epoch(oldest) > epoch::epoch(self.next) {
             log::warn!(target: "store", stream = STREAM, epoch = epoch::epoch(oldest),
-                read = epoch::place(self.next); "stream is read anew");
+                read = epoch::index(self.next); "stream is read anew");
             self.reread = Reread::UpToEnd;
         }
         self.next = oldest;
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -178,7 +178,7 @@
                 log::info!(target: "store", stream = self.name, oldest; "history gone");
                 return;
             }
-            let (epoch, read) = (epoch::epoch(oldest), epoch::place(next));
+            let (epoch, read) = (epoch::epoch(oldest), epoch::index(next));
             log::warn!(target: "store", stream = self.name, epoch, read; "stream is read anew");
             self.restored = true;
             return;
--- a/crates/direct/src/instrumented_log.rs
+++ b/crates/direct/src/instrumented_log.rs
@@ -24,7 +24,7 @@
         let outcome = match &result {
             Ok(_) => "ok",
             Err(Error::Gone { .. }) => "gone",
-            Err(Error::Moved { .. }) => "moved",
+            Err(Error::Conflict { .. }) => "moved",
             Err(_) => "failed",
         };
         self.metrics.log_call(call, outcome, began.elapsed());
--- a/crates/duty/src/dial.rs
+++ b/crates/duty/src/dial.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
-use wire::{Body, Connection, Dialler, Frame, Hello, Key, Ping, Pong, Result, Sighting};
+use wire::{Body, Connection, Dialler, EntryStatus, Frame, Hello, Key, Ping, Pong, Result};
 
 /// A fleet that is asked over the network: one task an agent, while they are observed.
-pub struct Dial {
+pub struct NetworkFleet {
     link: Arc<Link>,
     peers: Mutex<BTreeMap<Agent, Peer>>,
 }
@@ -56,7 +56,7 @@
 /// How long a connection, or an answer, may take.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-impl Dial {
+impl NetworkFleet {
     /// Makes a fleet that is reached through `dialler` in a process's name.
     pub fn new(dialler: Arc<dyn Dialler>, key: Key, name: CompactString, incarnation: u64) -> Self {
         let link = Arc::new(Link { dialler, key, name, incarnation });
@@ -83,7 +83,7 @@
 }
 
 #[async_trait]
-impl Fleet for Dial {
+impl Fleet for NetworkFleet {
     async fn observe(&self, agents: &[Agent]) -> Observation {
         let mut peers = self.peers();
         peers.retain(|agent, _| agents.contains(agent));
@@ -107,10 +107,10 @@
         observation.targets.insert(target.clone(), Seen { load: load.clone(), at: *at });
     }
     let since = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    for sighting in &pong.sightings {
+    for sighting in &pong.entries {
         let age_ms = sighting.age_ms.saturating_add(since);
         if Duration::from_millis(age_ms) <= STALE {
-            observation.sight(Sighting { age_ms, ..sighting.clone() });
+            observation.sight(EntryStatus { age_ms, ..sighting.clone() });
         }
     }
 }
@@ -161,10 +161,10 @@
 
     async fn ping(&self, connection: &mut Connection) -> Result<Pong> {
         let nonce = rand::random();
-        let ping = Ping { nonce, sender: None, wants_sightings: self.wants_sightings };
+        let ping = Ping { nonce, sender: None, include_entries: self.wants_sightings };
         connection.send(Frame::new(Body::Ping(ping))).await?;
         loop {
-            let frame = connection.expect("planner ping").await?;
+            let frame = connection.receive("planner ping").await?;
             match frame.body {
                 Some(Body::Pong(pong)) if pong.nonce == nonce => return Ok(pong),
                 Some(Body::Ping(ping)) => {
--- a/crates/duty/src/fleet.rs
+++ b/crates/duty/src/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
-use wire::{Load, Sighting};
+use wire::{EntryStatus, Load};
 
 /// An agent to be observed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -32,7 +32,7 @@
     /// What each agent said of its target; those never reached are left out.
     pub targets: BTreeMap<Name, Seen>,
     /// The entries that agents have heard from, each by its newest sighting.
-    pub entries: BTreeMap<CompactString, Sighting>,
+    pub entries: BTreeMap<CompactString, EntryStatus>,
 }
 
 /// How old a load may be to be acted on: three rounds of pings of a pool of 350 agents.
@@ -53,7 +53,7 @@
     }
 
     /// Takes a sighting in, if it is the newest of its entry.
-    pub fn sight(&mut self, sighting: Sighting) {
+    pub fn sight(&mut self, sighting: EntryStatus) {
         let known = self.entries.get(sighting.entry.as_str());
         if known.is_none_or(|known| sighting.age_ms <= known.age_ms) {
             self.entries.insert(sighting.entry.as_str().into(), sighting);
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`Planner`]: the loop.
 //! - [`reconcile`]: which order each engine needs next; pure.
 //! - [`Decide`]: which engines change role under load.
-//! - [`Fleet`]: how a planner sees the pool; [`Dial`] asks the agents.
+//! - [`Fleet`]: how a planner sees the pool; [`NetworkFleet`] asks the agents.
 
 mod backoff;
 mod decide;
@@ -19,6 +19,6 @@
 mod roles;
 
 pub use decide::{Decide, Roles};
-pub use dial::Dial;
+pub use dial::NetworkFleet;
 pub use fleet::{Agent, Fleet, Observation, Seen};
 pub use planner::{Context, Followed, Planner, scope};
--- a/crates/duty/src/planner.rs
+++ b/crates/duty/src/planner.rs
@@ -35,7 +35,7 @@
     /// The process's incarnation.
     pub incarnation: u64,
     /// How long it leaves a silent pool to others first; zero for the few that are to plan.
-    pub patience: Duration,
+    pub fallback_delay: Duration,
     /// Appends in the process's name.
     pub appender: Appender,
     /// The `config` stream.
@@ -80,9 +80,9 @@
 
     /// Claims the pool when nobody plans for it, and plans while it holds it, until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
-        let Context { pool, incarnation, patience, appender, system, .. } = &self.context;
+        let Context { pool, incarnation, fallback_delay, appender, system, .. } = &self.context;
         let settings = LeaseSettings::new(SYSTEM_STREAM.into(), scope(pool), *incarnation);
-        let settings = settings.patience(*patience);
+        let settings = settings.fallback_delay(*fallback_delay);
         let lease = Lease::keep(settings, appender.clone(), system.state.clone());
         let held = lease.held();
         let mut checkpoints = JoinSet::new();
--- a/crates/duty/tests/planner.rs
+++ b/crates/duty/tests/planner.rs
@@ -78,14 +78,14 @@
         name: &str,
         incarnation: u64,
         engines: &Engines,
-        patience: Duration,
+        fallback_delay: Duration,
     ) -> Self {
         let system = Process::<System>::start(log, name, SYSTEM_STREAM);
         let config = Process::<Config>::start(log, name, CONFIG_STREAM);
         let planner = Planner::new(Context {
             pool: POOL.into(),
             incarnation,
-            patience,
+            fallback_delay,
             appender: system.appender.clone(),
             config: Followed { state: config.state.clone(), health: config.health.clone() },
             system: Followed { state: system.state.clone(), health: system.health.clone() },
--- a/crates/entry/src/agent_queries.rs
+++ b/crates/entry/src/agent_queries.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use compact_str::CompactString;
 use std::time::Duration;
-use wire::AskKind;
+use wire::QueryKind;
 
 /// Maximum time for a query to one agent.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
         let mut reports = Vec::new();
         for target in targets {
             let body = Bytes::copy_from_slice(request.as_bytes());
-            if let Some(reply) = self.query_agent(target, AskKind::Explain, body).await {
+            if let Some(reply) = self.query_agent(target, QueryKind::Explain, body).await {
                 let text = String::from_utf8_lossy(&reply).into_owned();
                 reports.push(AgentReport { target: target.clone(), text });
             }
@@ -29,7 +29,7 @@
         reports
     }
 
-    async fn query_agent(&self, target: &str, kind: AskKind, body: Bytes) -> Option<Bytes> {
+    async fn query_agent(&self, target: &str, kind: QueryKind, body: Bytes) -> Option<Bytes> {
         let target = self.view.borrow().target(target)?.clone();
         let session = target.peer.session(QUERY_TIMEOUT).await?;
         let reply = tokio::time::timeout(QUERY_TIMEOUT, session.ask(kind, body)).await;
--- a/crates/entry/src/bootstrap.rs
+++ b/crates/entry/src/bootstrap.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use wire::AskKind;
+use wire::QueryKind;
 
 /// Maximum time to wait for one agent.
 const AGENT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
         let peer = self.shared.peers.get(address);
         let request = async {
             let session = peer.session(AGENT_TIMEOUT).await?;
-            session.ask(AskKind::Snapshot, Bytes::new()).await
+            session.ask(QueryKind::Snapshot, Bytes::new()).await
         };
         let reply = tokio::time::timeout(AGENT_TIMEOUT, request).await.ok().flatten();
         let Some(reply) = reply.filter(|reply| !reply.is_empty()) else { return };
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -65,7 +65,7 @@
         let follower = Follower::<Config>::new(log.clone(), plat::CONFIG_STREAM.into());
         let system = Follower::<System>::new(log, plat::SYSTEM_STREAM.into());
         let (config, health) = (follower.state(), follower.health());
-        let offer_senders = (follower.offers(), system.offers());
+        let offer_senders = (follower.peer_states(), system.peer_states());
         let random = Arc::new(Random::new(seed));
         let key = Key::new(settings.peer_key.as_bytes().to_vec());
         let decisions = Arc::new(Decisions::new(random.clone()));
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -138,7 +138,7 @@
     }
 
     /// Applies the status reports of other entries: their liveness and their callers' usage.
-    pub(crate) fn observe_entries(&self, own: &str, sightings: &[wire::Sighting]) {
+    pub(crate) fn observe_entries(&self, own: &str, sightings: &[wire::EntryStatus]) {
         let now = self.now();
         let mut traffic = self.lock();
         for sighting in sightings.iter().filter(|sighting| sighting.entry != own) {
@@ -153,7 +153,7 @@
     }
 
     /// Adds demand and the usage of active callers to this entry's status.
-    pub(crate) fn report_demand(&self, sighting: &mut wire::Sighting) {
+    pub(crate) fn report_demand(&self, sighting: &mut wire::EntryStatus) {
         let now = self.now();
         let mut traffic = self.lock();
         let (prompt, output) = traffic.demand.rates(now);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::Duration;
 use tokio::task::AbortHandle;
-use wire::{AttemptId, Dialler, Key, Sighting};
+use wire::{AttemptId, Dialler, EntryStatus, Key};
 
 /// State shared by all connections of an entry.
 pub(crate) struct PeerContext {
@@ -22,7 +22,7 @@
     pub(crate) decisions: Arc<Decisions>,
     pub(crate) processes: Processes,
     next_attempt: AtomicU64,
-    sighting: RwLock<Sighting>,
+    sighting: RwLock<EntryStatus>,
     sightings_requested_at: Mutex<Option<Duration>>,
     persistent_count: AtomicUsize,
 }
@@ -48,7 +48,8 @@
         decisions: Arc<Decisions>,
     ) -> Self {
         let incarnation = random.number();
-        let sighting = Sighting { entry: name.to_string(), incarnation, ..Sighting::default() };
+        let sighting =
+            EntryStatus { entry: name.to_string(), incarnation, ..EntryStatus::default() };
         let (next_attempt, sighting) = (AtomicU64::new(1), RwLock::new(sighting));
         let (sightings_requested_at, persistent_count) = (Mutex::default(), AtomicUsize::new(0));
         Self {
@@ -73,7 +74,7 @@
     }
 
     /// Returns the entry's status as sent with each ping.
-    pub(crate) fn sighting(&self) -> Sighting {
+    pub(crate) fn sighting(&self) -> EntryStatus {
         /// Maximum number of callers whose usage is reported to each of many agents.
         const MAX_USAGES: usize = 4;
         let mut sighting = self.sighting.read().unwrap_or_else(PoisonError::into_inner).clone();
@@ -122,7 +123,7 @@
     }
 
     /// Modifies the entry's status.
-    pub(crate) fn update_sighting(&self, change: impl FnOnce(&mut Sighting)) {
+    pub(crate) fn update_sighting(&self, change: impl FnOnce(&mut EntryStatus)) {
         change(&mut self.sighting.write().unwrap_or_else(PoisonError::into_inner));
     }
 }
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -9,7 +9,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
-use wire::{Load, Sighting};
+use wire::{EntryStatus, Load};
 
 /// The last reported status of another process.
 #[derive(Debug, Clone, PartialEq)]
@@ -48,7 +48,7 @@
     }
 
     /// Records the entries reported by an agent.
-    pub(crate) fn observe_entries(&self, sightings: &[Sighting]) {
+    pub(crate) fn observe_entries(&self, sightings: &[EntryStatus]) {
         let now = Instant::now();
         let mut entries = self.entries();
         for sighting in sightings {
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use wire::{
-    Ask, AskKind, Attach, Body, Connection, Frame, Hello, Ping, Reader, Reply, Request, Submit,
+    Attach, Body, Connection, Frame, Hello, Ping, Query, QueryKind, Reader, Reply, Request, Submit,
     Writer,
 };
 
@@ -102,12 +102,12 @@
 
     /// Sends a query that belongs to no attempt; returns `None` if the connection is lost before
     /// the reply.
-    pub(crate) async fn ask(&self, kind: AskKind, body: Bytes) -> Option<Bytes> {
+    pub(crate) async fn ask(&self, kind: QueryKind, body: Bytes) -> Option<Bytes> {
         let id = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
         self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner).insert(id, sender);
-        let ask = Ask { id, kind: kind.into(), body };
-        self.outbox.send(Frame::new(Body::Ask(ask))).await.ok()?;
+        let ask = Query { id, kind: kind.into(), body };
+        self.outbox.send(Frame::new(Body::Query(ask))).await.ok()?;
         answer.await.ok()
     }
 
@@ -159,7 +159,7 @@
     fn ping(&self, context: &PeerContext) {
         let nonce = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let sender = Some(context.sighting());
-        let ping = Ping { nonce, sender, wants_sightings: context.take_sightings_due() };
+        let ping = Ping { nonce, sender, include_entries: context.take_sightings_due() };
         // A full queue means that the agent does not read; the heartbeat timeout then ends the
         // connection.
         let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
@@ -179,9 +179,9 @@
                 if let Some(load) = &pong.load {
                     peer.observe_load(context, load, self.incarnation);
                 }
-                if !pong.sightings.is_empty() {
-                    context.processes.observe_entries(&pong.sightings);
-                    context.decisions.observe_entries(&context.name, &pong.sightings);
+                if !pong.entries.is_empty() {
+                    context.processes.observe_entries(&pong.entries);
+                    context.decisions.observe_entries(&context.name, &pong.entries);
                 }
             }
             Some(Body::Reply(Reply { id, body })) => {
@@ -201,7 +201,7 @@
                 | Body::Cancel(_)
                 | Body::Credit(_)
                 | Body::Ping(_)
-                | Body::Ask(_)
+                | Body::Query(_)
                 | Body::Attach(_),
             )
             | None => {}
--- a/crates/fake/src/http/log.rs
+++ b/crates/fake/src/http/log.rs
@@ -83,7 +83,7 @@
         Error::Unavailable { .. } => StatusCode::SERVICE_UNAVAILABLE,
         Error::Unsettled { .. } => StatusCode::GATEWAY_TIMEOUT,
         Error::Gone { .. } => StatusCode::GONE,
-        Error::Moved { .. } => StatusCode::PRECONDITION_FAILED,
+        Error::Conflict { .. } => StatusCode::PRECONDITION_FAILED,
         Error::Refused { .. } => StatusCode::BAD_REQUEST,
     };
     render(response, status, error.to_string());
--- a/crates/fake/src/log.rs
+++ b/crates/fake/src/log.rs
@@ -146,7 +146,7 @@
     fn write_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset> {
         let end = self.streams().get(stream).copied().unwrap_or_default();
         if end != at {
-            return Err(Error::Moved { stream: stream.to_compact_string(), end });
+            return Err(Error::Conflict { stream: stream.to_compact_string(), end });
         }
         Ok(self.write(stream, vec![record]))
     }
@@ -175,7 +175,7 @@
 impl Stream {
     /// Keeps a record as the newest of its key, if it has one.
     fn note(&mut self, entry: Entry) {
-        let Some(record) = Record::from_plain(entry) else { return };
+        let Some(record) = Record::decode(entry) else { return };
         match &record.value {
             Some(_) => self.newest.insert(record.key.clone(), record),
             None => self.newest.remove(&record.key),
@@ -260,7 +260,7 @@
     ) -> Result<(Vec<Record>, Offset)> {
         let batch = self.read(stream, from, usize::MAX, wait).await?;
         let next = batch.entries.last().map_or(from, |entry| entry.offset + 1);
-        Ok((batch.entries.into_iter().filter_map(Record::from_plain).collect(), next))
+        Ok((batch.entries.into_iter().filter_map(Record::decode).collect(), next))
     }
 
     async fn append_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset> {
--- a/crates/itest/src/lib.rs
+++ b/crates/itest/src/lib.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tokio_util::sync::CancellationToken;
-use wire::Memory;
+use wire::MemoryNetwork;
 
 pub use script::{Script, Wire};
 pub use transcript::{Transcript, describe};
@@ -37,7 +37,7 @@
     /// The platform's list of VMs.
     pub vms: MemoryVms,
     /// The network between entries and agents; agents listen at their target's name plus `:1`.
-    pub network: Memory,
+    pub network: MemoryNetwork,
     /// How many entries were started; each gets a seed of its own, the same in each run.
     entries: AtomicU64,
 }
--- a/crates/itest/src/script.rs
+++ b/crates/itest/src/script.rs
@@ -85,7 +85,7 @@
                 if let Body::Ping(ping) = body {
                     load.sequence += 1;
                     let load = Some(load.clone());
-                    Frame::new(Body::Pong(Pong { nonce: ping.nonce, load, sightings: Vec::new() }))
+                    Frame::new(Body::Pong(Pong { nonce: ping.nonce, load, entries: Vec::new() }))
                 } else {
                     // The test may not look at all of them.
                     let _ = frames_in.send(body);
@@ -173,7 +173,7 @@
 
     /// Tells a load, as an answer to a ping that nobody waits for.
     pub fn load(&self, load: Load) {
-        let pong = Pong { nonce: 0, load: Some(load), sightings: Vec::new() };
+        let pong = Pong { nonce: 0, load: Some(load), entries: Vec::new() };
         // A test may send to an entry that is gone.
         let _ = self.outbox.send(Frame::new(Body::Pong(pong)));
     }
--- a/crates/itest/tests/cut_off.rs
+++ b/crates/itest/tests/cut_off.rs
@@ -5,7 +5,7 @@
 use state::{Config, Snapshot, Snapshots, System};
 use std::sync::Arc;
 use std::time::Duration;
-use wire::{AskKind, Body, Load};
+use wire::{Body, Load, QueryKind};
 
 async fn chat(entry: &entry::Entry) -> u16 {
     let body = json!({
@@ -33,8 +33,8 @@
     let begun = tokio::time::Instant::now();
     let entry = Arc::new(entry::Entry::start(context));
     let mut wire = script.accept(true).await;
-    let Body::Ask(ask) = wire.next().await else { panic!("expected a question") };
-    assert_eq!(ask.kind(), AskKind::Snapshot);
+    let Body::Query(ask) = wire.next().await else { panic!("expected a question") };
+    assert_eq!(ask.kind(), QueryKind::Snapshot);
     let older = Snapshot::of(plat::CONFIG_STREAM, &Config::default());
     let all = vec![
         Snapshot::of(plat::CONFIG_STREAM, &*config),
@@ -53,7 +53,7 @@
         match wire.next().await {
             Body::Submit(submit) => break submit,
             // An older state, offered later, must not take the newer one's place.
-            Body::Ask(ask) => wire.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes()),
+            Body::Query(ask) => wire.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes()),
             other => panic!("unexpected {other:?}"),
         }
     };
@@ -86,7 +86,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert_eq!(chat(&entry).await, 503, "nobody is left");
     for number in 1..=4 {
-        fleet.network.mend("entry-1", &format!("engine-{number}:1"));
+        fleet.network.repair("entry-1", &format!("engine-{number}:1"));
     }
     tokio::time::sleep(Duration::from_secs(3)).await;
     assert_eq!(chat(&entry).await, 200, "connected again by itself");
--- a/crates/itest/tests/sessions.rs
+++ b/crates/itest/tests/sessions.rs
@@ -4,7 +4,7 @@
 use conf::Kind;
 use itest::{Answer, Fleet, MODEL, Transcript, agent_address, send};
 use serde_json::{Value, json};
-use state::config::Audit;
+use state::config::AuditEntry;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -86,8 +86,8 @@
     later.map(line).collect()
 }
 
-fn line(audit: &Audit) -> String {
-    let Audit { offset, author, kind, name, .. } = audit;
+fn line(audit: &AuditEntry) -> String {
+    let AuditEntry { offset, author, kind, name, .. } = audit;
     let outcome = match &audit.outcome {
         Ok(generation) => format!("accepted as generation {generation}"),
         Err(refusal) => format!("refused: {refusal}"),
--- a/crates/itest/tests/truth.rs
+++ b/crates/itest/tests/truth.rs
@@ -202,7 +202,7 @@
         let (entry, id) = (entry.clone(), id.1.clone());
         async move { entry.explain(&id).await }
     });
-    let Body::Ask(ask) = wire.next().await else { panic!("expected a question") };
+    let Body::Query(ask) = wire.next().await else { panic!("expected a question") };
     wire.reply(ask.id, Bytes::from_static(b"target=engine-1\n"));
     let explanation = explaining.await.expect("answered").expect("known");
     insta::assert_snapshot!(serde_json::to_string_pretty(&explanation).expect("plain data"));
--- a/crates/plat/src/epoch.rs
+++ b/crates/plat/src/epoch.rs
@@ -27,6 +27,6 @@
 }
 
 /// The place of an offset in its epoch: how many records of the stream stand before it.
-pub fn place(offset: Offset) -> u64 {
+pub fn index(offset: Offset) -> u64 {
     offset & ((1 << PLACE_BITS) - 1)
 }
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -39,7 +39,7 @@
     },
     /// A conditional append found another end of the stream: nothing was appended.
     #[error("append to {stream}: it ends at {end}")]
-    Moved {
+    Conflict {
         /// The stream.
         stream: CompactString,
         /// Where it ends.
--- a/crates/plat/src/keyed.rs
+++ b/crates/plat/src/keyed.rs
@@ -20,7 +20,7 @@
 impl Record {
     /// The plain form of a keyed record: one byte with the length of the key, the key, the value.
     /// `None` for a key of more than 255 bytes.
-    pub fn plain(key: &str, value: &[u8]) -> Option<Bytes> {
+    pub fn encode(key: &str, value: &[u8]) -> Option<Bytes> {
         let length = u8::try_from(key.len()).ok()?;
         let mut plain = BytesMut::with_capacity(1 + key.len() + value.len());
         plain.put_u8(length);
@@ -30,7 +30,7 @@
     }
 
     /// Reads the plain form; `None` if it holds no key. Without a value the key was removed.
-    pub fn from_plain(entry: Entry) -> Option<Self> {
+    pub fn decode(entry: Entry) -> Option<Self> {
         let Entry { offset, mut bytes } = entry;
         let length = usize::from(bytes.try_get_u8().ok()?);
         if bytes.len() < length {
@@ -66,6 +66,6 @@
 
     /// Appends `record` if the stream ends at `at`, and returns its offset.
     ///
-    /// Fails with [`crate::Error::Moved`] if it ends elsewhere.
+    /// Fails with [`crate::Error::Conflict`] if it ends elsewhere.
     async fn append_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset>;
 }
--- a/crates/plat/tests/epoch.rs
+++ b/crates/plat/tests/epoch.rs
@@ -12,7 +12,7 @@
     assert!(offset(3, 0) > offset(2, 1_000_000_000));
     let last = offset(LAST, (1 << 40) - 1);
     assert_eq!(
-        (last, epoch::epoch(last), epoch::place(last)),
+        (last, epoch::epoch(last), epoch::index(last)),
         ((1 << 53) - 1, LAST, (1 << 40) - 1)
     );
     assert_eq!((epoch::offset(LAST + 1, 0), epoch::offset(0, 1 << 40)), (None, None));
--- a/crates/slopes/src/frames.rs
+++ b/crates/slopes/src/frames.rs
@@ -2,7 +2,7 @@
 
 use crate::table::Row;
 use prost::Message;
-use wire::{Body, Frame, Load, Ping, Pong, Sighting, Usage};
+use wire::{Body, EntryStatus, Frame, Load, Ping, Pong, Usage};
 
 /// Entries that an agent has heard from; 18 at the plan's size.
 const SIGHTINGS: [u32; 4] = [0, 18, 36, 72];
@@ -29,7 +29,7 @@
 }
 
 fn ping(usages: u32) -> Ping {
-    Ping { nonce: 1 << 20, sender: Some(sighting(usages)), wants_sightings: true }
+    Ping { nonce: 1 << 20, sender: Some(sighting(usages)), include_entries: true }
 }
 
 fn pong(sightings: u32) -> Pong {
@@ -51,15 +51,15 @@
         token_time_us: 40_000,
     };
     let sightings = (0..sightings).map(|_| sighting(TYPICAL_USAGES)).collect();
-    Pong { nonce: 1 << 20, load: Some(load), sightings }
+    Pong { nonce: 1 << 20, load: Some(load), entries: sightings }
 }
 
 /// Busy callers that an entry tells of when it has many agents to tell.
 const TYPICAL_USAGES: u32 = 4;
 
-fn sighting(usages: u32) -> Sighting {
+fn sighting(usages: u32) -> EntryStatus {
     let usage = |caller| Usage { caller, rate: 900, open: 2 };
-    Sighting {
+    EntryStatus {
         entry: "entry-390".to_owned(),
         incarnation: u64::MAX,
         config_offset: 1 << 20,
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -27,7 +27,7 @@
 
 /// What became of one change, for the audit trail.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Audit {
+pub struct AuditEntry {
     /// The change's offset.
     pub offset: Offset,
     /// The change's id.
@@ -83,7 +83,7 @@
 pub struct Config {
     pub(crate) entries: OrdMap<ResourceKey, Arc<Entry>>,
     pub(crate) deleted: OrdMap<ResourceKey, (Offset, Generation)>,
-    pub(crate) audit: Vector<Arc<Audit>>,
+    pub(crate) audit: Vector<Arc<AuditEntry>>,
     pub(crate) end: Offset,
     /// Which resource has a value that no other of its kind may have. Without this index each
     /// change would look through all callers: 140 us at 4,500 of them, against 9 us.
@@ -102,7 +102,7 @@
         let Some(Body::Change(change)) = &record.body else { return };
         let before = self.find(&change.kind, &change.name).map(|e| e.resource.spec.to_string());
         let outcome = self.change(offset, record, change);
-        self.audit.push_back(Arc::new(Audit {
+        self.audit.push_back(Arc::new(AuditEntry {
             offset,
             id: record.id,
             author: record.author.clone(),
@@ -167,12 +167,12 @@
     }
 
     /// What became of recent changes, oldest first.
-    pub fn audit(&self) -> impl Iterator<Item = &Audit> {
+    pub fn audit(&self) -> impl Iterator<Item = &AuditEntry> {
         self.audit.iter().map(|audit| &**audit)
     }
 
     /// What became of the change at an offset, if it is recent.
-    pub fn outcome(&self, offset: Offset) -> Option<&Audit> {
+    pub fn outcome(&self, offset: Offset) -> Option<&AuditEntry> {
         self.audit().find(|audit| audit.offset == offset)
     }
 
--- a/crates/state/src/follower.rs
+++ b/crates/state/src/follower.rs
@@ -88,7 +88,7 @@
     }
 
     /// Takes states from peers while it runs; the one that goes furthest wins.
-    pub fn offers(&self) -> mpsc::Sender<F> {
+    pub fn peer_states(&self) -> mpsc::Sender<F> {
         self.offers.0.clone()
     }
 
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -32,11 +32,11 @@
     pub margin: Duration,
     /// The longest that an act begun within the lease may last beyond it; a successor waits it
     /// out too.
-    pub longest_order: Duration,
+    pub grace_period: Duration,
     /// Claimants wait a random part of this, so that they do not all append at once.
-    pub spread: Duration,
+    pub jitter: Duration,
     /// How much longer than others this claimant waits, for one that is only a reserve.
-    pub patience: Duration,
+    pub fallback_delay: Duration,
 }
 
 /// A scope as it is held.
@@ -76,9 +76,9 @@
             lease,
             renew: lease * 3 / 10,
             margin: lease / 10,
-            longest_order: Duration::ZERO,
-            spread: Duration::from_secs(1),
-            patience: Duration::ZERO,
+            grace_period: Duration::ZERO,
+            jitter: Duration::from_secs(1),
+            fallback_delay: Duration::ZERO,
         }
     }
 
@@ -93,21 +93,21 @@
     }
 
     /// Sets the longest that an act begun within the lease may last beyond it.
-    pub fn longest_order(mut self, longest: Duration) -> Self {
-        self.longest_order = longest;
+    pub fn grace_period(mut self, longest: Duration) -> Self {
+        self.grace_period = longest;
         self
     }
 
     /// Sets how much longer than others this claimant waits; reserves are spread as widely.
-    pub fn patience(mut self, patience: Duration) -> Self {
-        self.patience = patience;
-        self.spread = self.spread.max(patience);
+    pub fn fallback_delay(mut self, fallback_delay: Duration) -> Self {
+        self.fallback_delay = fallback_delay;
+        self.jitter = self.jitter.max(fallback_delay);
         self
     }
 
     /// Sets the time over which claimants are spread.
-    pub fn spread(mut self, spread: Duration) -> Self {
-        self.spread = spread;
+    pub fn jitter(mut self, jitter: Duration) -> Self {
+        self.jitter = jitter;
         self
     }
 }
@@ -289,8 +289,8 @@
 
     /// What a claimant waits beyond the holder's lease.
     fn waited(&self, holder: Option<&Holder>) -> Duration {
-        let longest = holder.map_or(Duration::ZERO, |_| self.settings.longest_order);
-        longest + self.settings.patience + self.settings.spread.mul_f64(rand::random())
+        let longest = holder.map_or(Duration::ZERO, |_| self.settings.grace_period);
+        longest + self.settings.fallback_delay + self.settings.jitter.mul_f64(rand::random())
     }
 
     /// Tries a claim; the log's order decides whether it counts.
--- a/crates/state/src/shape/config.rs
+++ b/crates/state/src/shape/config.rs
@@ -1,6 +1,6 @@
 //! The folded `config` stream as a message.
 
-use crate::config::{Audit, Config, Entry, Refusal};
+use crate::config::{AuditEntry, Config, Entry, Refusal};
 use bytes::Bytes;
 use compact_str::{CompactString, format_compact};
 use conf::{Kind, Resource};
@@ -126,7 +126,7 @@
     Ok(Entry { resource, spec, generation, offset, author })
 }
 
-fn encode_audit(audit: &Audit) -> AuditShape {
+fn encode_audit(audit: &AuditEntry) -> AuditShape {
     AuditShape {
         offset: audit.offset,
         id: audit.id,
@@ -142,12 +142,12 @@
     }
 }
 
-fn decode_audit(shape: AuditShape) -> Arc<Audit> {
+fn decode_audit(shape: AuditShape) -> Arc<AuditEntry> {
     let refusal = |detail| match shape.conflict {
         true => Refusal::Conflict(detail),
         false => Refusal::Invalid(detail),
     };
-    Arc::new(Audit {
+    Arc::new(AuditEntry {
         offset: shape.offset,
         id: shape.id,
         author: shape.author,
--- a/crates/state/src/shape/system.rs
+++ b/crates/state/src/shape/system.rs
@@ -3,7 +3,7 @@
 use super::scopes::{self, HolderShape};
 use crate::record::{Order, Suspicion};
 use crate::suspects::Crash;
-use crate::system::{Act, OrderEntry, Outcome, System};
+use crate::system::{AuditEntry, OrderEntry, Outcome, System};
 use bytes::Bytes;
 use compact_str::CompactString;
 use plat::Offset;
@@ -138,7 +138,7 @@
     Crash { target: target.into(), incarnation, alone, cleared }
 }
 
-fn encode_act(act: &Act) -> ActShape {
+fn encode_act(act: &AuditEntry) -> ActShape {
     ActShape {
         offset: act.offset,
         author: act.author.to_string(),
@@ -149,8 +149,8 @@
     }
 }
 
-fn decode_act(shape: ActShape) -> Arc<Act> {
-    Arc::new(Act {
+fn decode_act(shape: ActShape) -> Arc<AuditEntry> {
+    Arc::new(AuditEntry {
         offset: shape.offset,
         author: shape.author.into(),
         written_ms: shape.written_ms,
--- a/crates/state/src/system.rs
+++ b/crates/state/src/system.rs
@@ -46,7 +46,7 @@
 
 /// One line of the audit trail.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Act {
+pub struct AuditEntry {
     /// The record's offset.
     pub offset: Offset,
     /// Who wrote it.
@@ -78,7 +78,7 @@
     pub(crate) orders: OrdMap<Offset, Arc<OrderEntry>>,
     pub(crate) by_target: OrdMap<CompactString, Vector<Offset>>,
     pub(crate) suspects: Suspects,
-    pub(crate) acts: Vector<Arc<Act>>,
+    pub(crate) acts: Vector<Arc<AuditEntry>>,
     pub(crate) end: Offset,
 }
 
@@ -158,7 +158,7 @@
     }
 
     /// Recent claims, orders and outcomes, oldest first, void ones among them.
-    pub fn audit(&self) -> impl Iterator<Item = &Act> {
+    pub fn audit(&self) -> impl Iterator<Item = &AuditEntry> {
         self.acts.iter().map(|act| &**act)
     }
 
@@ -236,7 +236,7 @@
     }
 
     fn note(&mut self, offset: Offset, record: &Record, subject: &str, what: &str, valid: bool) {
-        self.acts.push_back(Arc::new(Act {
+        self.acts.push_back(Arc::new(AuditEntry {
             offset,
             author: record.author.as_str().into(),
             written_ms: record.written_ms,
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -119,7 +119,7 @@
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
     let at_once = |incarnation| {
-        LeaseSettings::new(SYSTEM_STREAM.into(), SCOPE.into(), incarnation).spread(Duration::ZERO)
+        LeaseSettings::new(SYSTEM_STREAM.into(), SCOPE.into(), incarnation).jitter(Duration::ZERO)
     };
     let lease_a = Lease::keep(at_once(1), a.appender.clone(), a.state.clone());
     let lease_b = Lease::keep(at_once(2), b.appender.clone(), b.state.clone());
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -92,7 +92,7 @@
         let appender = Appender::with(Arc::new(gate.clone()), name.into(), settings);
         let follower = Follower::new(Arc::new(gate.clone()), stream.into()).start_from(state);
         let (state, health) = (follower.state(), follower.health());
-        let offers = follower.offers();
+        let offers = follower.peer_states();
         let task = tokio::spawn(follower.run());
         Self { gate, appender, state, health, offers, task }
     }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -40,7 +40,7 @@
     }
 
     /// Receives the next frame; a closed connection is an error here, since `step` waits for it.
-    pub async fn expect(&mut self, step: &'static str) -> Result<Frame> {
+    pub async fn receive(&mut self, step: &'static str) -> Result<Frame> {
         match self.framed.next().await {
             Some(frame) => frame,
             None => Err(Error::Closed { step, peer: self.peer.clone() }),
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -50,7 +50,7 @@
     Pong(Pong),
     /// Either side: a question outside any attempt.
     #[prost(message, tag = "10")]
-    Ask(Ask),
+    Query(Query),
     /// Either side: answer to a question.
     #[prost(message, tag = "11")]
     Reply(Reply),
@@ -276,10 +276,10 @@
     pub nonce: u64,
     /// What the sender says of itself; absent if it takes no requests from callers.
     #[prost(message, optional, tag = "2")]
-    pub sender: Option<Sighting>,
+    pub sender: Option<EntryStatus>,
     /// Whether the answer should tell which entries the agent has heard from.
     #[prost(bool, tag = "3")]
-    pub wants_sightings: bool,
+    pub include_entries: bool,
 }
 
 /// Answers a ping.
@@ -293,13 +293,13 @@
     pub load: Option<Load>,
     /// The entries that the agent has heard from, if they were asked for.
     #[prost(message, repeated, tag = "3")]
-    pub sightings: Vec<Sighting>,
+    pub entries: Vec<EntryStatus>,
 }
 
 /// An entry as an agent last heard from it; carries membership and offered demand to the planner
 /// and to whoever asks whether a configuration is in force everywhere.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Sighting {
+pub struct EntryStatus {
     /// The entry's name.
     #[prost(string, tag = "1")]
     pub entry: String,
@@ -339,12 +339,12 @@
 
 /// A question outside any attempt.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Ask {
+pub struct Query {
     /// Sent back in the [`Reply`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
     /// What is asked.
-    #[prost(enumeration = "AskKind", tag = "2")]
+    #[prost(enumeration = "QueryKind", tag = "2")]
     pub kind: i32,
     /// The question's parameter, if the kind has one.
     #[prost(bytes = "bytes", tag = "3")]
@@ -354,7 +354,7 @@
 /// All kinds of questions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum AskKind {
+pub enum QueryKind {
     /// The folded state of the log, as an encoded checkpoint.
     Snapshot = 0,
     /// What the peer knows of the request whose id is the body, as lines of text.
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -96,7 +96,7 @@
 }
 
 async fn expect_hello(connection: &mut Connection) -> Result<Hello> {
-    let frame = connection.expect("handshake").await?;
+    let frame = connection.receive("handshake").await?;
     let Some(Body::Hello(hello)) = frame.body else {
         return Err(unexpected(connection, "a hello was due"));
     };
@@ -108,7 +108,7 @@
 }
 
 async fn expect_proof(connection: &mut Connection) -> Result<Proof> {
-    let frame = connection.expect("handshake").await?;
+    let frame = connection.receive("handshake").await?;
     match frame.body {
         Some(Body::Proof(proof)) => Ok(proof),
         _ => Err(unexpected(connection, "a proof was due")),
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -17,12 +17,13 @@
 pub use connection::{Connection, Reader, Writer};
 pub use error::{Error, Result};
 pub use frame::{
-    Ask, AskKind, Attach, Begin, Body, Cancel, Credit, Delta, End, Event, EventKind, Finish, Frame,
-    Head, Header, Offer, Part, Ping, Pong, Progress, Refusal, Reply, Sighting, Submit, Usage,
+    Attach, Begin, Body, Cancel, Credit, Delta, End, EntryStatus, Event, EventKind, Finish, Frame,
+    Head, Header, Offer, Part, Ping, Pong, Progress, Query, QueryKind, Refusal, Reply, Submit,
+    Usage,
 };
 pub use handshake::{Hello, Key, PROTOCOL_VERSION, Proof, accept, connect};
 pub use link::{
-    Bytestream, Dialler, Listener, Memory, MemoryListener, Pipe, TcpDialler, TcpListener,
+    Bytestream, Dialler, Listener, MemoryListener, MemoryNetwork, Pipe, TcpDialler, TcpListener,
 };
 pub use load::Load;
 pub use request::{Call, Prompt, Request, Work};
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,7 +1,7 @@
 //! Byte streams between processes, behind traits so that tests need no sockets.
 //!
 //! Real sockets under a paused clock are not deterministic: waiting on a socket lets the clock
-//! run ahead. [`Memory`] links are, and they can be cut like a network.
+//! run ahead. [`MemoryNetwork`] links are, and they can be cut like a network.
 
 use crate::{Error, Result};
 use async_trait::async_trait;
@@ -91,7 +91,7 @@
 
 /// A network in memory: addresses are plain names, and pairs of them can be cut.
 #[derive(Clone, Default)]
-pub struct Memory {
+pub struct MemoryNetwork {
     inner: Arc<Mutex<Inner>>,
     me: CompactString,
 }
@@ -109,12 +109,12 @@
     pump: tokio::task::AbortHandle,
 }
 
-/// Listens on a [`Memory`] network.
+/// Listens on a [`MemoryNetwork`].
 pub struct MemoryListener {
     incoming: mpsc::UnboundedReceiver<(Pipe, CompactString)>,
 }
 
-impl Memory {
+impl MemoryNetwork {
     /// The same network as seen from the process `name`, which matters for cuts.
     pub fn at(&self, name: &str) -> Self {
         Self { inner: self.inner.clone(), me: name.to_compact_string() }
@@ -141,7 +141,7 @@
     }
 
     /// Allows links from process `from` to address `to` again.
-    pub fn mend(&self, from: &str, to: &str) {
+    pub fn repair(&self, from: &str, to: &str) {
         self.lock().cut.remove(&(from.to_compact_string(), to.to_compact_string()));
     }
 
@@ -151,7 +151,7 @@
 }
 
 #[async_trait]
-impl Dialler for Memory {
+impl Dialler for MemoryNetwork {
     async fn dial(&self, address: &str) -> Result<Pipe> {
         let refused = |why: &str| Error::Io {
             step: "dial",
