--- a/crates/state/src/appender.rs
+++ b/crates/state/src/appender.rs
@@ -1,8 +1,8 @@
-//! Appends records in groups, within a budget, and settles lost replies by reading.
+//! Appends records in batches within a rate limit, and settles lost replies by reading.
 
 use crate::budget::Budget;
 use crate::record::Body;
-use crate::{Error, Record, Result, flight};
+use crate::{Error, Record, Result, batching};
 use compact_str::{CompactString, ToCompactString};
 use plat::{Log, Offset, StreamName};
 use std::collections::HashMap;
@@ -15,39 +15,40 @@
 /// The settings of an appender.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AppenderSettings {
-    /// Appends a second on average.
+    /// Appends per second on average.
     pub per_second: u32,
-    /// Appends at once, after a quiet time.
+    /// Appends without a wait after an idle period.
     pub burst: u32,
-    /// How long a record may wait for its append before it is given up, not appended.
-    pub patience: Duration,
-    /// How long to look for a record whose reply was lost.
+    /// How long a record may wait for its append before it is rejected.
+    pub max_wait: Duration,
+    /// How long to search for a record whose reply was lost.
     pub settle: Duration,
 }
 
 impl Default for AppenderSettings {
     fn default() -> Self {
         Self {
-            // 17 ledger and tile workers at their limit are 170 of the log's several hundred;
-            // 700 agents that renew every 7 s are 100; the rest stays for operators.
+            // 17 ledger and tile workers at this limit make 170 of the several hundred appends per
+            // second that the log accepts; 700 agents that renew every 7 s make 100; the rest is
+            // for operators.
             per_second: 10,
-            // A quiet target answers its next calls without a wait.
+            // The first calls after an idle period do not wait.
             burst: 20,
-            // Longer than a slow log's append, shorter than callers wait.
-            patience: Duration::from_secs(5),
-            // A write that took effect before its reply was lost shows in the next read.
+            // Longer than an append to a slow log, shorter than callers wait.
+            max_wait: Duration::from_secs(5),
+            // An append that took effect before its reply was lost shows in the next read.
             settle: Duration::from_secs(3),
         }
     }
 }
 
-/// Appends records in one process's name; clones share its groups and budget.
+/// Appends records in the name of one process; clones share batches and rate limit.
 #[derive(Clone)]
 pub struct Appender {
     shared: Arc<Shared>,
 }
 
-/// Where a record stands.
+/// The offset and id of an appended record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Appended {
     /// Its offset.
@@ -56,7 +57,7 @@
     pub id: u64,
 }
 
-/// What all clones and flights of an appender share.
+/// The state shared by all clones of an appender and its tasks.
 pub(crate) struct Shared {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) settings: AppenderSettings,
@@ -66,7 +67,7 @@
     queues: Mutex<HashMap<StreamName, mpsc::Sender<Pending>>>,
 }
 
-/// Counters since the start.
+/// Counters since the process started.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     pub(crate) appends: AtomicU64,
@@ -76,23 +77,23 @@
     pub(crate) unsettled: AtomicU64,
 }
 
-/// A record that waits for its append.
+/// A queued record.
 pub(crate) struct Pending {
     pub(crate) record: Record,
-    pub(crate) since: Instant,
+    pub(crate) queued_at: Instant,
     pub(crate) reply: oneshot::Sender<Result<Appended>>,
 }
 
-/// Records that may wait for the same stream; more are refused, since they would wait too long.
+/// The most queued records of one stream; more are rejected, since they would wait too long.
 const QUEUE_RECORDS: usize = 4_096;
 
 impl Appender {
-    /// Makes an appender for the process or operator `author`, with the usual settings.
+    /// Makes an appender for the process or operator `author`, with default settings.
     pub fn new(log: Arc<dyn Log>, author: CompactString) -> Self {
         Self::with(log, author, AppenderSettings::default())
     }
 
-    /// Makes an appender with settings of its own.
+    /// Makes an appender with the given settings.
     pub fn with(log: Arc<dyn Log>, author: CompactString, settings: AppenderSettings) -> Self {
         let budget = Budget::new(settings.per_second, settings.burst);
         let counts = Counts::default();
@@ -100,51 +101,51 @@
         Self { shared: Arc::new(Shared { log, settings, budget, counts, author, queues }) }
     }
 
-    /// Appends one record in the process's own name.
+    /// Appends one record in this process's name.
     ///
-    /// After [`Error::Log`] the record does not stand in the log and never will. After
-    /// [`Error::Unsettled`] it may still appear, however late: the caller must act as if it could
-    /// count, and as if it could be missing. Dropping the future has the same effect.
+    /// After [`Error::Log`] the record is not in the log and never will be. After
+    /// [`Error::Unsettled`], or if the future is dropped, it may still appear at any later time:
+    /// the caller must allow for both cases.
     pub async fn append(&self, stream: &str, body: Body) -> Result<Appended> {
         let author = self.shared.author.clone();
         self.append_as(&author, stream, body).await
     }
 
-    /// Appends one record in another's name, such as an operator's.
+    /// Appends one record in another name, such as that of an operator.
     pub async fn append_as(&self, author: &str, stream: &str, body: Body) -> Result<Appended> {
         let record = Record::new(rand::random(), author, now_ms(), body);
-        let (reply, answer) = oneshot::channel();
-        let pending = Pending { record, since: Instant::now(), reply };
-        self.queue(stream).try_send(pending).map_err(|_| not_taken("too many records wait"))?;
-        answer.await.unwrap_or_else(|_| Err(not_taken("the process stops")))
+        let (reply, result) = oneshot::channel();
+        let pending = Pending { record, queued_at: Instant::now(), reply };
+        self.queue(stream).try_send(pending).map_err(|_| rejected("too many records wait"))?;
+        result.await.unwrap_or_else(|_| Err(rejected("the process stops")))
     }
 
-    /// Whose name the records bear.
+    /// The name that the records carry as their author.
     pub fn author(&self) -> &str {
         &self.shared.author
     }
 
-    /// How many appends took effect, as far as their replies came.
+    /// The number of appends that succeeded with a reply.
     pub fn appends(&self) -> u64 {
         self.shared.counts.appends.load(Ordering::Relaxed)
     }
 
-    /// How many records these appends carried.
+    /// The number of records in these appends.
     pub fn appended_records(&self) -> u64 {
         self.shared.counts.records.load(Ordering::Relaxed)
     }
 
-    /// How many bytes these records had.
+    /// The total size of these records, in bytes.
     pub fn appended_bytes(&self) -> u64 {
         self.shared.counts.bytes.load(Ordering::Relaxed)
     }
 
-    /// How many appends lost their reply.
+    /// The number of appends whose reply was lost.
     pub fn lost_replies(&self) -> u64 {
         self.shared.counts.lost_replies.load(Ordering::Relaxed)
     }
 
-    /// How many records could not be settled in time.
+    /// The number of records with a lost reply that were not found in time.
     pub fn unsettled(&self) -> u64 {
         self.shared.counts.unsettled.load(Ordering::Relaxed)
     }
@@ -157,21 +158,21 @@
         let (queue, pending) = mpsc::channel(QUEUE_RECORDS);
         queues.insert(stream.to_compact_string(), queue.clone());
         let shared = Arc::downgrade(&self.shared);
-        tokio::spawn(flight::run(shared, stream.to_compact_string(), pending));
+        tokio::spawn(batching::run(shared, stream.to_compact_string(), pending));
         queue
     }
 }
 
 impl Pending {
-    /// Answers whoever waits; nobody may.
-    pub(crate) fn answer(self, result: Result<Appended>) {
-        // A caller that has gone does not need the answer.
+    /// Sends the result to the writer, if it still waits.
+    pub(crate) fn resolve(self, result: Result<Appended>) {
+        // A writer that has gone does not need the result.
         let _ = self.reply.send(result);
     }
 }
 
-/// The error of a record that was given up before its append.
-pub(crate) fn not_taken(detail: &'static str) -> Error {
+/// The error of a record that was rejected before its append.
+pub(crate) fn rejected(detail: &'static str) -> Error {
     let peer = CompactString::const_new("appender");
     let detail = CompactString::const_new(detail);
     Error::Log(plat::Error::Unavailable { step: "append", peer, detail })
--- a/crates/state/src/calls.rs
+++ b/crates/state/src/calls.rs
@@ -1,8 +1,8 @@
 //! The fold of one target's `calls` stream: its claim, and the calls that may not be repeated.
 //!
-//! An intent counts only if it is the first for its key in log order and its author held the
-//! claim there. Whoever dispatches a call first reads its own intent back and finds it counted;
-//! so no key runs twice, however many agents, entries and replies are about.
+//! An intent is valid only if it is the first for its key in log order and its author held the
+//! claim at that offset. An agent reads its own intent back and dispatches the call only if it is
+//! valid. So no key runs twice, however many agents, entries and delayed replies there are.
 
 use crate::authority::Authority;
 use crate::record::{Answer, Body, Intent};
@@ -17,41 +17,42 @@
 /// Hash of service, caller and idempotency key.
 pub type CallKey = Bytes;
 
-/// What is known of one key.
+/// The state of one idempotency key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallEntry {
-    /// Offset of the intent that counts.
+    /// Offset of the valid intent.
     pub intent: Offset,
     /// Hash of the call itself, to refuse the key's reuse for another call.
     pub digest: Bytes,
     /// Offset of the claim under which the intent was written.
     pub claim: Offset,
-    /// Who wrote the intent.
+    /// The process that wrote the intent.
     pub author: CompactString,
-    /// What became of the call.
+    /// The outcome of the call, if it is known.
     pub status: CallStatus,
 }
 
-/// What became of a call that may not be repeated.
+/// The outcome of a call that may not be repeated.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallStatus {
-    /// The holder may be running it.
+    /// The holder of the claim may be running it.
     Pending,
-    /// It ran, and this is the answer.
+    /// It ran and was answered.
     Answered(Answer),
-    /// It never reached the target and this attempt never will: the key is free again.
+    /// It has not reached the target, and this attempt never will: the key may be used again.
     NotRun,
-    /// Its holder lost the claim before it said what became of it: it may have run.
+    /// Its author lost the claim before it recorded an outcome: it may have run.
     Unknown,
 }
 
-/// Keys that a target remembers; beyond it the oldest that is not pending is forgotten, and a
-/// retry with it would run anew. At one call a second these are 14 hours. More would make the
-/// checkpoints of a busy target cost its node more than control may.
+/// The most keys kept for one target; beyond it the oldest that is not pending is removed, and a
+/// retry with that key would run again. At one call per second they cover 14 hours. With more,
+/// the checkpoints of a busy target would exceed the control traffic allowed for its node.
 pub const KEYS_KEPT: usize = 50_000;
 
-/// Bytes of answers' bodies that a target remembers; beyond it the oldest bodies are left out,
-/// and a retry learns status and headers only. Bounded for the checkpoints, as the keys are.
+/// The most bytes of recorded response bodies kept for one target; beyond it the oldest bodies
+/// are removed, and a retry gets only status and headers. Limits the size of checkpoints, as
+/// [`KEYS_KEPT`] does.
 pub const ANSWER_BYTES_KEPT: usize = 8 * 1024 * 1024;
 
 /// The folded `calls` stream of one target.
@@ -66,7 +67,7 @@
     pub(crate) end: Offset,
 }
 
-/// The one scope of the stream: whatever name a record gives it, it is the claim on the target.
+/// The only scope of the stream: the claim on the target, whatever scope its records name.
 pub(crate) const SCOPE: &str = "";
 
 impl Fold for Calls {
@@ -77,14 +78,14 @@
         match &record.body {
             Some(Body::Claim(claim)) => {
                 if self.scopes.claim(SCOPE, offset, &record.author, claim) {
-                    self.close_pending();
+                    self.mark_pending_unknown();
                 }
             }
             Some(Body::Renewal(renewal)) => {
                 self.scopes.renew(SCOPE, offset, &record.author, renewal);
             }
-            Some(Body::Intent(intent)) => self.intend(offset, record, intent),
-            Some(Body::Answer(answer)) => self.answer(record, answer),
+            Some(Body::Intent(intent)) => self.apply_intent(offset, record, intent),
+            Some(Body::Answer(answer)) => self.apply_answer(record, answer),
             Some(
                 Body::Change(_)
                 | Body::Order(_)
@@ -121,34 +122,34 @@
         self.scopes.get(SCOPE)
     }
 
-    /// What is known of a key; none if it was never used.
+    /// The state of a key; `None` if the key is unknown.
     pub fn call(&self, key: &[u8]) -> Option<&CallEntry> {
         self.calls.get(key).map(|call| &**call)
     }
 
-    /// Whether the intent at `offset` is the one that counts for `key` and may be dispatched by
-    /// its author: it is first, was written under a valid claim, and nothing is known of it yet.
+    /// Whether the author of the intent at `offset` may dispatch the call with `key`: the intent is
+    /// the first for the key, was written under a valid claim, and has no outcome yet.
     pub fn may_dispatch(&self, key: &[u8], offset: Offset) -> bool {
         let call = self.call(key);
         call.is_some_and(|call| call.intent == offset && call.status == CallStatus::Pending)
     }
 
-    /// How many keys are remembered.
+    /// The number of keys kept.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether no key is kept.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
-    /// All keys that are remembered.
+    /// All keys that are kept, with their states.
     pub fn iter(&self) -> impl Iterator<Item = (&CallKey, &CallEntry)> {
         self.calls.iter().map(|(key, call)| (key, &**call))
     }
 
-    fn intend(&mut self, offset: Offset, record: &Record, intent: &Intent) {
+    fn apply_intent(&mut self, offset: Offset, record: &Record, intent: &Intent) {
         if !self.scopes.act(SCOPE, offset, &record.author, intent.claim) {
             return;
         }
@@ -163,33 +164,34 @@
             status: CallStatus::Pending,
         };
         self.put(intent.key.clone(), call);
-        self.bound_keys();
+        self.limit_keys();
     }
 
-    /// Applies an answer: only the intent's own author knows that it ran or never will.
-    fn answer(&mut self, record: &Record, answer: &Answer) {
+    /// Applies an answer; only the intent's author can record that the call ran or never will.
+    fn apply_answer(&mut self, record: &Record, answer: &Answer) {
         let Some(key) = self.by_intent.get(&answer.intent).cloned() else { return };
         let Some(call) = self.calls.get(&key) else { return };
-        let own = answer.claim == call.claim && record.author == call.author.as_str();
+        let is_author = answer.claim == call.claim && record.author == call.author.as_str();
         let status = match call.status {
             CallStatus::Answered(_) | CallStatus::NotRun => return,
             CallStatus::Pending | CallStatus::Unknown if answer.status == 0 && !answer.not_run => {
                 CallStatus::Unknown
             }
-            CallStatus::Pending | CallStatus::Unknown if !own => return,
-            // Once its author said that nobody knows, a retry's word that it was not run, which
-            // was on its way beside that, must not free the key.
+            CallStatus::Pending | CallStatus::Unknown if !is_author => return,
+            // Once the outcome is recorded as unknown, a concurrent record of a retry that the call
+            // was not run must not release the key.
             CallStatus::Unknown if answer.not_run => return,
             CallStatus::Pending if answer.not_run => CallStatus::NotRun,
             CallStatus::Pending | CallStatus::Unknown => CallStatus::Answered(answer.clone()),
         };
         let call = CallEntry { status, ..CallEntry::clone(call) };
         self.put(key, call);
-        self.bound_bodies();
+        self.limit_bodies();
     }
 
-    /// A new holder cannot know what the old one dispatched, so it is said of none.
-    fn close_pending(&mut self) {
+    /// Marks pending calls as unknown: a new holder cannot know which of them the old one
+    /// dispatched.
+    fn mark_pending_unknown(&mut self) {
         for offset in std::mem::take(&mut self.pending) {
             let Some(key) = self.by_intent.get(&offset) else { continue };
             if let Some(call) = self.calls.get_mut(key) {
@@ -198,14 +200,14 @@
         }
     }
 
-    /// A state without calls, which a snapshot's decoder puts in.
-    pub(crate) fn at(scopes: Scopes, end: Offset) -> Self {
+    /// A state without calls, to which the decoder of snapshots adds them.
+    pub(crate) fn without_calls(scopes: Scopes, end: Offset) -> Self {
         Self { scopes, end, ..Self::default() }
     }
 
     pub(crate) fn put(&mut self, key: CallKey, call: CallEntry) {
         if let Some(old) = self.calls.get(&key).cloned() {
-            self.unlink(&old);
+            self.remove_from_indices(&old);
         }
         self.by_intent.insert(call.intent, key.clone());
         match &call.status {
@@ -221,7 +223,7 @@
         self.calls.insert(key, Arc::new(call));
     }
 
-    fn unlink(&mut self, call: &CallEntry) {
+    fn remove_from_indices(&mut self, call: &CallEntry) {
         self.by_intent.remove(&call.intent);
         self.pending.remove(&call.intent);
         if self.bodies.remove(&call.intent).is_some()
@@ -231,7 +233,7 @@
         }
     }
 
-    fn bound_keys(&mut self) {
+    fn limit_keys(&mut self) {
         if self.calls.len() <= KEYS_KEPT {
             return;
         }
@@ -239,11 +241,11 @@
         let Some(oldest) = self.by_intent.keys().find(settled).copied() else { return };
         let Some(key) = self.by_intent.get(&oldest).cloned() else { return };
         if let Some(call) = self.calls.remove(&key) {
-            self.unlink(&call);
+            self.remove_from_indices(&call);
         }
     }
 
-    fn bound_bodies(&mut self) {
+    fn limit_bodies(&mut self) {
         while self.body_bytes > ANSWER_BYTES_KEPT {
             let Some(oldest) = self.bodies.get_min().copied() else { return };
             let Some(key) = self.by_intent.get(&oldest).cloned() else { return };
--- a/crates/state/src/checkpointer.rs
+++ b/crates/state/src/checkpointer.rs
@@ -93,7 +93,7 @@
     fn is_due(&self) -> bool {
         let health = self.health.borrow();
         // A state that is behind or broken must not be passed on as the newest.
-        if health.trouble.is_some() || !health.is_fresh(self.settings.age) || health.end == 0 {
+        if health.error.is_some() || !health.is_fresh(self.settings.age) || health.end == 0 {
             return false;
         }
         let last = self.last.into_iter().chain(health.checkpoint).max_by_key(|(at, _)| *at);
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -1,4 +1,4 @@
-//! Keeps a scope: claims it when its holder is silent, renews it, gives it up.
+//! Holds a scope by lease: claims it when the holder's lease has expired, renews and releases it.
 
 use crate::appender::Appender;
 use crate::authority::Authority;
@@ -14,48 +14,48 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// How a scope is kept.
+/// The settings of a lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LeaseSettings {
-    /// The stream on which it is claimed.
+    /// The stream to which claims and renewals are appended.
     pub stream: StreamName,
     /// The scope, such as `planner/sofia` or `target/engine-1`.
     pub scope: CompactString,
     /// The process's incarnation, chosen at its start.
     pub incarnation: u64,
-    /// How long after its last renewal the holder acts on it.
+    /// How long after its last renewal the holder may act under the claim.
     pub lease: Duration,
-    /// How often the holder renews.
+    /// The interval between renewals.
     pub renew: Duration,
-    /// Taken off the lease by the holder, for clocks that run at different speeds and for what
-    /// lies between its check and its act.
+    /// The holder's own lease is shorter by this, to allow for clocks that run at different speeds
+    /// and for the time between the holder's check and its action.
     pub margin: Duration,
-    /// The longest that an act begun within the lease may last beyond it; a successor waits it
-    /// out too.
+    /// The longest time that an action begun within the lease may last beyond it; a successor
+    /// waits for this long after the lease has expired.
     pub grace_period: Duration,
-    /// Claimants wait a random part of this, so that they do not all append at once.
+    /// Claimants wait a random part of this, so that they do not all append at the same time.
     pub jitter: Duration,
-    /// How much longer than others this claimant waits, for one that is only a reserve.
+    /// The additional wait of a claimant that is only a fallback.
     pub fallback_delay: Duration,
 }
 
-/// A scope as it is held.
+/// A claim that this process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Held {
-    /// Offset of the claim, which the holder's records name.
+    /// Offset of the claim; the holder's records refer to it.
     pub claim: Offset,
-    /// Until when the holder may act on it.
+    /// The time until which the holder may act under it.
     pub until: Instant,
 }
 
 impl Held {
-    /// Whether the holder may still act on it.
+    /// Whether the holder may still act under the claim.
     pub fn is_valid(&self) -> bool {
         Instant::now() < self.until
     }
 }
 
-/// A scope that is kept by a task; dropping it stops the task without giving the scope up.
+/// A scope that a task claims and renews; dropping it stops the task without a release.
 pub struct Lease {
     held: watch::Receiver<Option<Held>>,
     stop: CancellationToken,
@@ -63,10 +63,11 @@
 }
 
 impl LeaseSettings {
-    /// The usual settings for a scope of a stream.
+    /// The default settings for a scope of a stream.
     ///
-    /// A takeover takes the lease, the spread, one append and one read: with 5 s, 1 s and a log
-    /// at 300 ms that is under 7 s of the 10 s allowed, for two renewals in 3 s.
+    /// A takeover takes the lease, the jitter, one append and one read: with a lease of 5 s, a
+    /// jitter of 1 s and a log with a latency of 300 ms that is less than 7 s of the 10 s allowed.
+    /// It costs two renewals every 3 s.
     pub fn new(stream: StreamName, scope: CompactString, incarnation: u64) -> Self {
         let lease = Duration::from_secs(5);
         Self {
@@ -82,9 +83,9 @@
         }
     }
 
-    /// Sets the lease, and renewal and margin in proportion.
+    /// Sets the lease, and the renewal interval and margin in proportion.
     ///
-    /// Three renewals fit into a lease, so that one lost and one slow one do not end it.
+    /// Three renewals fit into a lease, so that one lost and one slow renewal do not end it.
     pub fn lease(mut self, lease: Duration) -> Self {
         self.lease = lease;
         self.renew = lease * 3 / 10;
@@ -92,20 +93,20 @@
         self
     }
 
-    /// Sets the longest that an act begun within the lease may last beyond it.
-    pub fn grace_period(mut self, longest: Duration) -> Self {
-        self.grace_period = longest;
+    /// Sets the longest time that an action begun within the lease may last beyond it.
+    pub fn grace_period(mut self, grace_period: Duration) -> Self {
+        self.grace_period = grace_period;
         self
     }
 
-    /// Sets how much longer than others this claimant waits; reserves are spread as widely.
+    /// Sets the additional wait of a fallback claimant, and a jitter of at least this.
     pub fn fallback_delay(mut self, fallback_delay: Duration) -> Self {
         self.fallback_delay = fallback_delay;
         self.jitter = self.jitter.max(fallback_delay);
         self
     }
 
-    /// Sets the time over which claimants are spread.
+    /// Sets the longest random wait of a claimant.
     pub fn jitter(mut self, jitter: Duration) -> Self {
         self.jitter = jitter;
         self
@@ -113,7 +114,9 @@
 }
 
 impl Lease {
-    /// Starts to keep a scope in the appender's name, as seen in the folded `state`.
+    /// Spawns the task that claims and renews a scope in the appender's name.
+    ///
+    /// `state` is the folded state of the stream.
     pub fn keep<F: Authority>(
         settings: LeaseSettings,
         appender: Appender,
@@ -122,29 +125,29 @@
         let (sender, held) = watch::channel(None);
         let stop = CancellationToken::new();
         let stopped = stop.clone();
-        let mut keeper = Keeper { settings, appender, state, held: sender, seen: None };
+        let mut lease_task = LeaseTask { settings, appender, state, held: sender, last_seen: None };
         let task = tokio::spawn(async move {
             tokio::select! {
-                () = keeper.run() => {}
+                () = lease_task.run() => {}
                 () = stopped.cancelled() => {}
             }
-            keeper.release().await;
+            lease_task.release().await;
         });
         Self { held, stop, task: Some(task) }
     }
 
-    /// The scope as it is held; none while it isn't.
+    /// The claim while it is held, otherwise `None`.
     pub fn held(&self) -> watch::Receiver<Option<Held>> {
         self.held.clone()
     }
 
-    /// Gives the scope up, so that the next holder need not wait for the lease to lapse.
+    /// Releases the scope, so that the next holder need not wait until the lease expires.
     ///
-    /// The caller must have ended all that it does under the claim.
+    /// All actions under the claim must have stop_without_state before.
     pub async fn release(mut self) {
         self.stop.cancel();
         if let Some(task) = self.task.take() {
-            // A task that panicked has nothing left to give up.
+            // A task that panicked has nothing left to release.
             let _ = task.await;
         }
     }
@@ -158,28 +161,28 @@
     }
 }
 
-/// The task that keeps a scope.
-struct Keeper<F> {
+/// The task that claims and renews a scope.
+struct LeaseTask<F> {
     settings: LeaseSettings,
     appender: Appender,
     state: watch::Receiver<Arc<F>>,
     held: watch::Sender<Option<Held>>,
-    /// The last record of another holder, when it was first seen, and when to claim then.
-    seen: Option<Seen>,
+    /// The last record of another holder, and when to claim if none follows it.
+    last_seen: Option<LastRecord>,
 }
 
-/// What was last seen of another holder.
-struct Seen {
+/// The last record of another holder that was read.
+struct LastRecord {
     last: Option<Offset>,
     claim_at: Instant,
 }
 
-impl<F: Authority> Keeper<F> {
+impl<F: Authority> LeaseTask<F> {
     async fn run(&mut self) {
         loop {
             match self.holder() {
                 Some(holder) if self.is_own(&holder) => self.renew(holder.claim).await,
-                other => self.wait(other.as_ref()).await,
+                other => self.wait_for_expiry(other.as_ref()).await,
             }
         }
     }
@@ -192,9 +195,9 @@
         holder.is(self.appender.author(), self.settings.incarnation)
     }
 
-    /// Renews the own claim, then sleeps until the next renewal is due or the claim is lost.
+    /// Renews this process's claim, then sleeps until the next renewal is due or the claim is lost.
     async fn renew(&mut self, claim: Offset) {
-        self.seen = None;
+        self.last_seen = None;
         let sent = Instant::now();
         let renewal = self.renewal(claim, false);
         let until = sent + self.settings.lease - self.settings.margin;
@@ -203,7 +206,7 @@
             Ok(Ok(true)) => {
                 self.held.send_replace(Some(Held { claim, until }));
             }
-            Ok(Ok(false)) => return self.lose(),
+            Ok(Ok(false)) => return self.mark_lost(),
             Ok(Err(error)) => {
                 let scope = self.settings.scope.as_str();
                 log::warn!(scope, error:% = error; "lease-renewal-failed");
@@ -211,18 +214,18 @@
             Err(_) => {}
         }
         let due = sent + self.settings.renew;
-        self.pause(claim, due.max(Instant::now() + RETRY_WAIT)).await;
+        self.sleep_until_due(claim, due.max(Instant::now() + RETRY_WAIT)).await;
     }
 
-    /// Waits until `due`, but not beyond the end of the lease and not once the claim is lost.
-    async fn pause(&mut self, claim: Offset, due: Instant) {
+    /// Sleeps until `due`; returns earlier when the claim is lost or the lease expires.
+    async fn sleep_until_due(&mut self, claim: Offset, due: Instant) {
         loop {
             let until = self.held.borrow().map(|held| held.until);
             let wake = until.map_or(due, |until| until.min(due));
             tokio::select! {
                 () = tokio::time::sleep_until(wake) => {
                     if until.is_some_and(|until| until <= Instant::now()) {
-                        self.lose();
+                        self.mark_lost();
                     }
                     if wake == due {
                         return;
@@ -230,50 +233,51 @@
                 }
                 changed = self.state.changed() => {
                     if changed.is_err() {
-                        return self.ended().await;
+                        return self.stop_without_state().await;
                     }
                     let holder = self.holder();
                     if holder.is_none_or(|holder| holder.claim != claim) {
-                        return self.lose();
+                        return self.mark_lost();
                     }
                 }
             }
         }
     }
 
-    /// Appends a renewal and reads it back; tells whether the claim still stands there.
+    /// Appends a renewal and reads it back; returns whether the claim is still valid there.
     async fn confirm(&mut self, body: Body, claim: Offset) -> Result<bool> {
         let appended = self.appender.append(&self.settings.stream, body).await?;
-        self.read_to(appended.offset).await;
+        self.wait_applied(appended.offset).await;
         Ok(self.holder().is_some_and(|h| h.claim == claim && self.is_own(&h)))
     }
 
     /// Waits until the record at `offset` is applied.
-    async fn read_to(&mut self, offset: Offset) {
+    async fn wait_applied(&mut self, offset: Offset) {
         if self.state.wait_for(|state| state.end() > offset).await.is_err() {
-            self.ended().await;
+            self.stop_without_state().await;
         }
     }
 
-    /// The follower has ended, so nothing can be known any more.
-    async fn ended(&self) {
-        self.lose();
+    /// The follower has stopped, so the state is never updated again: gives the claim up for good.
+    async fn stop_without_state(&self) {
+        self.mark_lost();
         std::future::pending().await
     }
 
-    /// Waits for news of the holder, or claims once it has been silent for long enough.
+    /// Waits for a record of the holder, or claims the scope once the holder's lease has expired.
     ///
-    /// Silence is counted by the own clock from when its last record was read here, which is
-    /// later than when the holder sent it: the holder has stopped by then by its own clock.
-    async fn wait(&mut self, holder: Option<&Holder>) {
-        self.lose();
+    /// The lease is timed by the local clock from when the holder's last record was read here,
+    /// which is later than when the holder sent it: by its own clock the holder has stopped by
+    /// then.
+    async fn wait_for_expiry(&mut self, holder: Option<&Holder>) {
+        self.mark_lost();
         let last = holder.map(|holder| holder.last);
-        let claim_at = match &self.seen {
+        let claim_at = match &self.last_seen {
             Some(seen) if seen.last == last => seen.claim_at,
             _ => {
-                let silence = holder.map_or(Duration::ZERO, |h| h.lease) + self.waited(holder);
-                let claim_at = Instant::now() + silence;
-                self.seen = Some(Seen { last, claim_at });
+                let delay = holder.map_or(Duration::ZERO, |h| h.lease) + self.claim_delay(holder);
+                let claim_at = Instant::now() + delay;
+                self.last_seen = Some(LastRecord { last, claim_at });
                 claim_at
             }
         };
@@ -281,21 +285,21 @@
             () = tokio::time::sleep_until(claim_at) => self.claim(last).await,
             changed = self.state.changed() => {
                 if changed.is_err() {
-                    self.ended().await;
+                    self.stop_without_state().await;
                 }
             }
         }
     }
 
-    /// What a claimant waits beyond the holder's lease.
-    fn waited(&self, holder: Option<&Holder>) -> Duration {
-        let longest = holder.map_or(Duration::ZERO, |_| self.settings.grace_period);
-        longest + self.settings.fallback_delay + self.settings.jitter.mul_f64(rand::random())
+    /// How long a claimant waits after the holder's lease has expired.
+    fn claim_delay(&self, holder: Option<&Holder>) -> Duration {
+        let grace = holder.map_or(Duration::ZERO, |_| self.settings.grace_period);
+        grace + self.settings.fallback_delay + self.settings.jitter.mul_f64(rand::random())
     }
 
-    /// Tries a claim; the log's order decides whether it counts.
+    /// Appends a claim; the order of the log decides whether it is valid.
     async fn claim(&mut self, supersedes: Option<Offset>) {
-        self.seen = None;
+        self.last_seen = None;
         let claim = Body::Claim(Claim {
             scope: self.settings.scope.to_string(),
             supersedes,
@@ -303,9 +307,9 @@
             lease_ms: u64::try_from(self.settings.lease.as_millis()).unwrap_or(u64::MAX),
         });
         match self.appender.append(&self.settings.stream, claim).await {
-            Ok(appended) => self.read_to(appended.offset).await,
+            Ok(appended) => self.wait_applied(appended.offset).await,
             Err(error @ (Error::Log(_) | Error::Unsettled { .. })) => {
-                // A claim that appears later is met in the state as any other own claim is.
+                // A claim that appears later is handled like any other claim of this process.
                 let scope = self.settings.scope.as_str();
                 log::warn!(scope, error:% = error; "lease-claim-failed");
                 tokio::time::sleep(RETRY_WAIT).await;
@@ -318,7 +322,7 @@
         }
     }
 
-    fn lose(&self) {
+    fn mark_lost(&self) {
         let lost = self.held.send_if_modified(|held| held.take().is_some());
         if lost {
             log::warn!(scope = self.settings.scope.as_str(); "lease-lost");
@@ -341,5 +345,5 @@
     }
 }
 
-/// How long to wait after a failed append.
+/// The wait after a failed append.
 const RETRY_WAIT: Duration = Duration::from_millis(500);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,27 +1,27 @@
-//! The log's records folded into state: authority, configuration and at-most-once.
+//! State folded from the records of the log: leases, configuration and at-most-once calls.
 //!
-//! Folding is a pure function of the records in their order: every process that has read up to
-//! the same offset holds the same state. Queries read the folded state; commands append records
-//! and then read them back, since only the log's order says what became of them.
+//! A fold is a pure function of the records in log order: all processes that have read up to the
+//! same offset have the same state. Queries read the folded state. Commands append records and
+//! read them back, since only the order of the log decides their outcome.
 //!
-//! - [`record`]: the records as they stand in the log.
+//! - [`record`]: the records in the log.
 //! - [`config`], [`system`], [`calls`]: the folds of the three kinds of streams.
-//! - [`rules`]: rules between resources, the same at each reader.
+//! - [`rules`]: the rules between resources, which every reader applies.
 //! - [`Follower`]: follows a stream and publishes its folded state and [`Health`].
-//! - [`snapshot`]: folded states as bytes, for checkpoints and for peers.
-//! - [`Appender`]: appends records in groups and settles lost replies by reading.
+//! - [`snapshot`]: encoded folded states, for checkpoints and for peers.
+//! - [`Appender`]: appends records in batches and settles lost replies by reading.
 //! - [`Lease`]: claims and renews a scope.
 //! - [`Checkpointer`]: writes checkpoints before records expire.
 //! - [`Registry`]: the commands on resources.
 
 mod appender;
 mod authority;
+mod batching;
 mod budget;
 pub mod calls;
 mod checkpointer;
 pub mod config;
 mod error;
-mod flight;
 mod follower;
 mod health;
 mod lease;
@@ -41,7 +41,7 @@
 pub use config::Config;
 pub use error::{Error, Result};
 pub use follower::{Fold, Follower};
-pub use health::{Health, Trouble};
+pub use health::{FollowError, Health};
 pub use lease::{Held, Lease, LeaseSettings};
 pub use record::Record;
 pub use registry::{Accepted, Registry};
--- a/crates/state/src/shape/calls.rs
+++ b/crates/state/src/shape/calls.rs
@@ -45,7 +45,7 @@
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Calls, CompactString> {
     let shape: CallsShape = super::message(bytes)?;
-    let mut calls = Calls::at(scopes::decode(shape.holders), shape.end);
+    let mut calls = Calls::without_calls(scopes::decode(shape.holders), shape.end);
     for call in shape.calls {
         let (key, call) = decode_call(call)?;
         calls.put(key, call);
--- a/crates/state/tests/follower.rs
+++ b/crates/state/tests/follower.rs
@@ -10,8 +10,8 @@
 use serde_json::json;
 use state::record::{Body, Change, Checkpoint};
 use state::{
-    Checkpointer, CheckpointerSettings, Config, Fold, Lease, LeaseSettings, Record, Snapshot,
-    System, Trouble,
+    Checkpointer, CheckpointerSettings, Config, Fold, FollowError, Lease, LeaseSettings, Record,
+    Snapshot, System,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,8 +31,8 @@
     }
 }
 
-fn trouble<F: Fold>(process: &Process<F>) -> Option<Trouble> {
-    process.health.borrow().trouble.clone()
+fn follow_error<F: Fold>(process: &Process<F>) -> Option<FollowError> {
+    process.health.borrow().error.clone()
 }
 
 /// Changes one letter of a resource's name, so that the state still decodes.
@@ -88,7 +88,7 @@
     publish(&a, "m3").await;
     cut.gate.set(Open::All);
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert!(matches!(trouble(&cut), Some(Trouble::Gap { end: 1, oldest: 2 })));
+    assert!(matches!(follow_error(&cut), Some(FollowError::Gap { end: 1, oldest: 2 })));
     assert_eq!(cut.state.borrow().end(), 1);
     let whole = a.read_to(3).await;
     write(&a, Snapshot::of(CONFIG_STREAM, &*whole).checkpoint()).await;
@@ -122,11 +122,11 @@
     write(&a, part(&whole, |newer| newer.state_version += 1)).await;
     let late = Process::<Config>::start(&log, "late", CONFIG_STREAM);
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert!(matches!(trouble(&late), Some(Trouble::Gap { .. })));
+    assert!(matches!(follow_error(&late), Some(FollowError::Gap { .. })));
     assert_eq!(late.state.borrow().end(), 0);
     write(&a, part(&whole, |_| ())).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert!(trouble(&late).is_none());
+    assert!(follow_error(&late).is_none());
     assert_eq!(late.state.borrow().list(Kind::Model).count(), 2);
 }
 
@@ -143,14 +143,14 @@
     publish(&a, "m2").await;
     tokio::time::sleep(Duration::from_secs(10)).await;
     a.read_to(1).await;
-    let seen = trouble(&a).expect("it is said").to_string();
+    let seen = follow_error(&a).expect("it is said").to_string();
     assert_eq!(seen, "record 1 of config: written by a newer version, 2");
     assert_eq!(a.state.borrow().end(), 1);
     let mut peer = Config::clone(&a.state.borrow());
     peer.apply(1, &Record::new(1, "new", 0, claim("s", None, 1)));
     a.offers.send(peer).await.expect("it runs");
     assert_eq!(a.read_to(3).await.list(Kind::Model).count(), 2);
-    assert!(trouble(&a).is_none());
+    assert!(follow_error(&a).is_none());
 }
 
 // An entry restarts while the log is out and takes its state from a peer; the log comes back with
@@ -174,7 +174,7 @@
     let other = MemoryLog::new();
     let moved = Process::start_from(&other, "m", CONFIG_STREAM, state.clone());
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert!(matches!(trouble(&moved), Some(Trouble::Behind { end: 0 })));
+    assert!(matches!(follow_error(&moved), Some(FollowError::LogBehind { end: 0 })));
     assert_eq!(**moved.state.borrow(), state);
 }
 
@@ -215,6 +215,6 @@
     log.append(CONFIG_STREAM, vec![Bytes::from_static(b"\xff\xff")]).await.expect("up");
     let a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     tokio::time::sleep(Duration::from_secs(5)).await;
-    assert!(matches!(trouble(&a), Some(Trouble::Unreadable(_))));
+    assert!(matches!(follow_error(&a), Some(FollowError::Unreadable(_))));
     assert_eq!(*a.state.borrow(), Arc::new(Config::default()));
 }
