--- a/crates/state/src/appender.rs
+++ b/crates/state/src/appender.rs
@@ -1,6 +1,6 @@
 //! Appends records in batches within a rate limit, and settles lost replies by reading.
 
-use crate::budget::Budget;
+use crate::rate_limit::RateLimit;
 use crate::record::Body;
 use crate::{Error, Record, Result, batching};
 use compact_str::{CompactString, ToCompactString};
@@ -61,7 +61,7 @@
 pub(crate) struct Shared {
     pub(crate) log: Arc<dyn Log>,
     pub(crate) settings: AppenderSettings,
-    pub(crate) budget: Budget,
+    pub(crate) rate_limit: RateLimit,
     pub(crate) counts: Counts,
     author: CompactString,
     queues: Mutex<HashMap<StreamName, mpsc::Sender<Pending>>>,
@@ -95,10 +95,10 @@
 
     /// Makes an appender with the given settings.
     pub fn with(log: Arc<dyn Log>, author: CompactString, settings: AppenderSettings) -> Self {
-        let budget = Budget::new(settings.per_second, settings.burst);
+        let rate_limit = RateLimit::new(settings.per_second, settings.burst);
         let counts = Counts::default();
         let queues = Mutex::default();
-        Self { shared: Arc::new(Shared { log, settings, budget, counts, author, queues }) }
+        Self { shared: Arc::new(Shared { log, settings, rate_limit, counts, author, queues }) }
     }
 
     /// Appends one record in this process's name.
--- a/crates/state/src/authority.rs
+++ b/crates/state/src/authority.rs
@@ -1,10 +1,10 @@
-//! What a fold must tell for someone to hold a scope of its stream.
+//! The folds of streams on which scopes are claimed.
 
 use crate::Fold;
 use crate::scopes::Holder;
 
-/// A fold that knows who holds which scope.
+/// A fold that records the holders of scopes.
 pub trait Authority: Fold {
-    /// The holder of a scope, none if it is free.
+    /// The holder of a scope; `None` if it is free.
     fn holder(&self, scope: &str) -> Option<&Holder>;
 }
--- a/crates/state/src/batching.rs
+++ b/crates/state/src/batching.rs
@@ -45,7 +45,7 @@
             },
         };
         let Some(shared) = shared.upgrade() else { return };
-        shared.budget.acquire().await;
+        shared.rate_limit.acquire().await;
         let batch;
         (batch, next) = collect(&shared, first, &mut queue);
         if !batch.is_empty() {
--- a/crates/state/src/calls.rs
+++ b/crates/state/src/calls.rs
@@ -7,7 +7,7 @@
 use crate::authority::Authority;
 use crate::record::{Answer, Body, Intent};
 use crate::scopes::{Holder, Scopes};
-use crate::{Fold, Record, shape};
+use crate::{Fold, Record, encoding};
 use bytes::Bytes;
 use compact_str::CompactString;
 use imbl::{OrdMap, OrdSet};
@@ -77,12 +77,12 @@
         self.end = offset + 1;
         match &record.body {
             Some(Body::Claim(claim)) => {
-                if self.scopes.claim(SCOPE, offset, &record.author, claim) {
+                if self.scopes.apply_claim(SCOPE, offset, &record.author, claim) {
                     self.mark_pending_unknown();
                 }
             }
             Some(Body::Renewal(renewal)) => {
-                self.scopes.renew(SCOPE, offset, &record.author, renewal);
+                self.scopes.apply_renewal(SCOPE, offset, &record.author, renewal);
             }
             Some(Body::Intent(intent)) => self.apply_intent(offset, record, intent),
             Some(Body::Answer(answer)) => self.apply_answer(record, answer),
@@ -102,11 +102,11 @@
     }
 
     fn encode(&self) -> Bytes {
-        shape::calls::encode(self)
+        encoding::calls::encode(self)
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, CompactString> {
-        shape::calls::decode(bytes)
+        encoding::calls::decode(bytes)
     }
 }
 
@@ -150,7 +150,7 @@
     }
 
     fn apply_intent(&mut self, offset: Offset, record: &Record, intent: &Intent) {
-        if !self.scopes.act(SCOPE, offset, &record.author, intent.claim) {
+        if !self.scopes.accept(SCOPE, offset, &record.author, intent.claim) {
             return;
         }
         if self.call(&intent.key).is_some_and(|call| call.status != CallStatus::NotRun) {
--- a/crates/state/src/checkpointer.rs
+++ b/crates/state/src/checkpointer.rs
@@ -1,4 +1,4 @@
-//! Writes checkpoints well before the records that they stand for expire.
+//! Writes checkpoints well before the records that they replace expire.
 
 use crate::appender::Appender;
 use crate::health::Health;
@@ -13,28 +13,29 @@
 /// When a checkpoint is due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CheckpointerSettings {
-    /// At the latest so long after the last one. A log that keeps records for less than three
-    /// times this can lose the last checkpoint before the next one stands.
+    /// The longest time since the last one. With a log that retains records for less than three
+    /// times this, the last checkpoint can expire before the next one is written.
     pub age: Duration,
-    /// At the latest so many records after the last one: what a starting process must read.
+    /// The most records since the last one, which are what a starting process has to read.
     pub records: u64,
 }
 
 impl Default for CheckpointerSettings {
     fn default() -> Self {
         Self {
-            // Four in an hour: two can fail before an hour's retention bites. Six took 2.7 of the
-            // 7 KB/s for control at 700 targets and 4,500 callers, and left too little for the rest.
+            // Four per hour, so that two can fail within a retention of one hour. Six per hour took
+            // 2.7 of the 7 KB/s allowed for control traffic with 700 targets and 4,500 callers, and
+            // left too little for the rest.
             age: Duration::from_secs(15 * 60),
-            // A second's work to read and apply.
+            // Read and applied within a second.
             records: 20_000,
         }
     }
 }
 
 impl CheckpointerSettings {
-    /// The settings for a `calls` stream, whose state is the largest: one checkpoint of all keys
-    /// that are kept is about 10 MB, which twice an hour stays below 7 KB a second.
+    /// The settings for a `calls` stream, whose state is the largest: one checkpoint of all kept
+    /// keys is about 10 MB, which twice an hour stays below 7 KB per second.
     pub fn calls() -> Self {
         Self { age: Duration::from_secs(30 * 60), records: 2 * crate::calls::KEYS_KEPT as u64 }
     }
@@ -51,14 +52,14 @@
     last: Option<(Offset, Instant)>,
 }
 
-/// How often it looks whether a checkpoint is due.
-const CHECK_EVERY: Duration = Duration::from_secs(5);
+/// The interval at which it checks whether a checkpoint is due.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 impl<F: Fold> Checkpointer<F> {
-    /// Makes a writer for `stream` that writes while the lease is held.
+    /// Makes a checkpointer for `stream` that writes while the lease is held.
     ///
-    /// The lease only keeps many from writing the same: a checkpoint by someone who lost it
-    /// meanwhile is as right as any, since the state depends on the records alone.
+    /// The lease only prevents several processes from writing the same checkpoint. One by a process
+    /// that has just lost the lease is still correct, since the state depends on the records alone.
     pub fn new(
         stream: StreamName,
         appender: Appender,
@@ -82,7 +83,7 @@
             if self.is_held() && self.is_due() {
                 self.write().await;
             }
-            tokio::time::sleep(CHECK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
         }
     }
 
@@ -92,7 +93,7 @@
 
     fn is_due(&self) -> bool {
         let health = self.health.borrow();
-        // A state that is behind or broken must not be passed on as the newest.
+        // A state that is behind or incomplete must not be published as the newest.
         if health.error.is_some() || !health.is_fresh(self.settings.age) || health.end == 0 {
             return false;
         }
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Appends all parts and returns the last one's offset.
+    /// Appends all parts and returns the offset of the last one.
     async fn append(&self, snapshot: &Snapshot) -> Result<Offset> {
         let mut last = snapshot.end;
         for part in snapshot.checkpoint() {
--- a/crates/state/src/config.rs
+++ b/crates/state/src/config.rs
@@ -1,7 +1,7 @@
-//! The fold of the `config` stream: which resources are in force, and who changed them.
+//! The fold of the `config` stream: the resources in effect and the audit trail of their changes.
 
 use crate::record::{Body, Change};
-use crate::{Fold, Record, rules, shape};
+use crate::{Fold, Record, encoding, rules};
 use bytes::Bytes;
 use compact_str::CompactString;
 use conf::resource::{Caller, Target};
@@ -10,51 +10,51 @@
 use plat::Offset;
 use std::sync::Arc;
 
-/// A resource as it is in force.
+/// A resource in effect.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// What the operator wrote.
+    /// The resource as the operator wrote it.
     pub resource: Resource,
-    /// The checked spec.
+    /// The validated spec.
     pub spec: Spec,
-    /// Counts the accepted changes.
+    /// The number of accepted changes so far.
     pub generation: Generation,
     /// Offset of the last accepted change.
     pub offset: Offset,
-    /// Who made it.
+    /// The author of that change.
     pub author: String,
 }
 
-/// What became of one change, for the audit trail.
+/// An entry of the audit trail: one change and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AuditEntry {
     /// The change's offset.
     pub offset: Offset,
     /// The change's id.
     pub id: u64,
-    /// Who made it.
+    /// The author of the change.
     pub author: String,
-    /// When, by the author's clock, in Unix milliseconds.
+    /// When it was written, by the author's clock, in Unix milliseconds.
     pub written_ms: u64,
-    /// The resource's kind as written.
+    /// The resource's kind as written in the record.
     pub kind: String,
     /// The resource's name.
     pub name: String,
-    /// The spec before, as JSON.
+    /// The spec before the change, as JSON.
     pub before: Option<String>,
-    /// The spec asked for, as JSON; none deletes.
+    /// The requested spec, as JSON; `None` deletes the resource.
     pub after: Option<String>,
-    /// The generation it got, or why it was refused.
+    /// The new generation, or the reason for the refusal.
     pub outcome: Result<Generation, Refusal>,
 }
 
-/// Why a change was refused where it stands in the log.
+/// Why the readers of the log refuse a change.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// Another change got in first; names its author.
+    /// Another change came first; names its author.
     #[error("{0}")]
     Conflict(String),
-    /// It breaks a rule; names the field's path.
+    /// It violates a rule; names the field's path.
     #[error("{0}")]
     Invalid(String),
 }
@@ -68,30 +68,30 @@
     }
 }
 
-/// How many changes the audit trail keeps in memory; the log keeps all until its horizon.
+/// The most changes in the audit trail in memory; the log has all until its retention ends.
 pub const AUDIT_KEPT: usize = 2_000;
 
-/// How many deleted names are remembered, so that a name that is used again goes on counting its
-/// generations: a change meant for the deleted resource then never fits the new one.
+/// The most deleted names that are kept. A resource with a reused name continues the generations
+/// of the deleted one, so that a change meant for the deleted one never applies to the new one.
 pub const DELETED_KEPT: usize = 10_000;
 
 /// A kind and a name.
 pub(crate) type ResourceKey = (Kind, Name);
 
-/// All resources in force at one offset of the `config` stream.
+/// All resources in effect at one offset of the `config` stream.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Config {
     pub(crate) entries: OrdMap<ResourceKey, Arc<Entry>>,
     pub(crate) deleted: OrdMap<ResourceKey, (Offset, Generation)>,
     pub(crate) audit: Vector<Arc<AuditEntry>>,
     pub(crate) end: Offset,
-    /// Which resource has a value that no other of its kind may have. Without this index each
-    /// change would look through all callers: 140 us at 4,500 of them, against 9 us.
+    /// The resource that has a value which must be unique within its kind. Without this index each
+    /// change would scan all callers: 140 us with 4,500 of them, instead of 9 us.
     pub(crate) owners: OrdMap<UniqueValue, Name>,
 }
 
-/// A kind and the value that no two resources of it may share: a caller's token digest, in lower
-/// case, or the address of a target's agent.
+/// A kind and a value that must be unique within it: a caller's token digest, in lower case, or the
+/// address of a target's agent.
 pub(crate) type UniqueValue = (Kind, CompactString);
 
 impl Fold for Config {
@@ -101,7 +101,7 @@
         self.end = offset + 1;
         let Some(Body::Change(change)) = &record.body else { return };
         let before = self.find(&change.kind, &change.name).map(|e| e.resource.spec.to_string());
-        let outcome = self.change(offset, record, change);
+        let outcome = self.apply_change(offset, record, change);
         self.audit.push_back(Arc::new(AuditEntry {
             offset,
             id: record.id,
@@ -123,11 +123,11 @@
     }
 
     fn encode(&self) -> Bytes {
-        shape::config::encode(self)
+        encoding::config::encode(self)
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, CompactString> {
-        shape::config::decode(bytes)
+        encoding::config::decode(bytes)
     }
 }
 
@@ -137,7 +137,7 @@
         self.end
     }
 
-    /// The resource of a kind and name.
+    /// The resource with a kind and name.
     pub fn get(&self, kind: Kind, name: &str) -> Option<&Entry> {
         self.entries.get(&(kind, Name::from(name))).map(|entry| &**entry)
     }
@@ -166,12 +166,12 @@
         })
     }
 
-    /// What became of recent changes, oldest first.
+    /// The recent changes with their outcomes, oldest first.
     pub fn audit(&self) -> impl Iterator<Item = &AuditEntry> {
         self.audit.iter().map(|audit| &**audit)
     }
 
-    /// What became of the change at an offset, if it is recent.
+    /// The change at an offset with its outcome, if it is recent.
     pub fn outcome(&self, offset: Offset) -> Option<&AuditEntry> {
         self.audit().find(|audit| audit.offset == offset)
     }
@@ -185,8 +185,8 @@
         self.get(Kind::from_name(kind).ok()?, name)
     }
 
-    /// Applies a change, or says why not.
-    fn change(
+    /// Applies a change and returns the new generation, or refuses it.
+    fn apply_change(
         &mut self,
         offset: Offset,
         record: &Record,
@@ -194,10 +194,10 @@
     ) -> Result<Generation, Refusal> {
         let kind = Kind::from_name(&change.kind).map_err(invalid)?;
         let key = (kind, Name::from(change.name.as_str()));
-        let old = self.entries.get(&key);
-        let generation = old.map_or(0, |entry| entry.generation);
+        let existing = self.entries.get(&key);
+        let generation = existing.map_or(0, |entry| entry.generation);
         if change.expects.is_some_and(|expected| expected != generation) {
-            return Err(Refusal::Conflict(conflict(change, old.map(|entry| &**entry))));
+            return Err(Refusal::Conflict(conflict(change, existing.map(|entry| &**entry))));
         }
         let Some(spec) = &change.spec else {
             return self.delete(offset, &key);
@@ -209,21 +209,21 @@
         let before = self.deleted.get(&key).map_or(generation, |(_, generation)| *generation);
         let generation = before + 1;
         let author = record.author.clone();
-        self.put(Entry { resource, spec, generation, offset, author });
+        self.insert_entry(Entry { resource, spec, generation, offset, author });
         Ok(generation)
     }
 
-    pub(crate) fn put(&mut self, entry: Entry) {
+    pub(crate) fn insert_entry(&mut self, entry: Entry) {
         let key = (entry.resource.kind, entry.resource.name.clone());
         self.deleted.remove(&key);
-        self.forget_owner(&key);
+        self.remove_owner(&key);
         if let Some(value) = unique_value(&entry.spec) {
             self.owners.insert((key.0, value), key.1.clone());
         }
         self.entries.insert(key, Arc::new(entry));
     }
 
-    /// The resource that has the value of `spec` which no other of its kind may have.
+    /// The resource that has the unique value of `spec`.
     pub(crate) fn owner(&self, spec: &Spec) -> Option<&Name> {
         let kind = match spec {
             Spec::Target(_) => Kind::Target,
@@ -233,21 +233,21 @@
         self.owners.get(&(kind, unique_value(spec)?))
     }
 
-    fn forget_owner(&mut self, key: &ResourceKey) {
-        let old = self.entries.get(key).and_then(|old| unique_value(&old.spec));
-        if let Some(value) = old {
+    fn remove_owner(&mut self, key: &ResourceKey) {
+        let existing = self.entries.get(key).and_then(|existing| unique_value(&existing.spec));
+        if let Some(value) = existing {
             self.owners.remove(&(key.0, value));
         }
     }
 
     fn delete(&mut self, offset: Offset, key: &ResourceKey) -> Result<Generation, Refusal> {
         let (kind, name) = (key.0, &key.1);
-        let Some(old) = self.entries.get(key) else {
+        let Some(existing) = self.entries.get(key) else {
             return Err(invalid(format!("there is no {} {name}", kind.name())));
         };
-        let generation = old.generation + 1;
+        let generation = existing.generation + 1;
         rules::check_unused(self, kind, name).map_err(invalid)?;
-        self.forget_owner(key);
+        self.remove_owner(key);
         self.entries.remove(key);
         self.deleted.insert(key.clone(), (offset, generation));
         if self.deleted.len() > DELETED_KEPT {
@@ -260,7 +260,7 @@
     }
 }
 
-/// The value of a spec that no other resource of its kind may have.
+/// The value of a spec that must be unique within its kind.
 fn unique_value(spec: &Spec) -> Option<CompactString> {
     match spec {
         Spec::Target(target) => Some(target.agent.clone()),
@@ -273,10 +273,10 @@
     Refusal::Invalid(error.to_string())
 }
 
-fn conflict(change: &Change, old: Option<&Entry>) -> String {
+fn conflict(change: &Change, existing: Option<&Entry>) -> String {
     let Change { kind, name, .. } = change;
     let expected = change.expects.unwrap_or_default();
-    match old {
+    match existing {
         Some(entry) => format!(
             "{kind} {name} is at generation {} by {} (record {}), not at {expected}",
             entry.generation, entry.author, entry.offset
--- a/crates/state/src/shape/calls.rs
+++ b/crates/state/src/encoding/calls.rs
@@ -1,6 +1,6 @@
-//! The folded `calls` stream as a message.
+//! The encoding of the folded `calls` stream.
 
-use super::scopes::{self, HolderShape};
+use super::scopes::{self, HolderMessage};
 use crate::calls::{CallEntry, CallStatus, Calls};
 use crate::record::{Answer, Intent};
 use bytes::Bytes;
@@ -9,17 +9,17 @@
 use prost::Message;
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct CallsShape {
+struct CallsMessage {
     #[prost(uint64, tag = "1")]
     end: Offset,
     #[prost(message, repeated, tag = "2")]
-    holders: Vec<HolderShape>,
+    holders: Vec<HolderMessage>,
     #[prost(message, repeated, tag = "3")]
-    calls: Vec<CallShape>,
+    calls: Vec<CallMessage>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct CallShape {
+struct CallMessage {
     #[prost(uint64, tag = "1")]
     offset: Offset,
     #[prost(string, tag = "2")]
@@ -35,30 +35,30 @@
 }
 
 pub(crate) fn encode(calls: &Calls) -> Bytes {
-    let shape = CallsShape {
+    let message = CallsMessage {
         end: calls.end,
         holders: scopes::encode(&calls.scopes),
         calls: calls.iter().map(|(key, call)| encode_call(key, call)).collect(),
     };
-    shape.encode_to_vec().into()
+    message.encode_to_vec().into()
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Calls, CompactString> {
-    let shape: CallsShape = super::message(bytes)?;
-    let mut calls = Calls::without_calls(scopes::decode(shape.holders), shape.end);
-    for call in shape.calls {
+    let message: CallsMessage = super::decode_message(bytes)?;
+    let mut calls = Calls::without_calls(scopes::decode(message.holders), message.end);
+    for call in message.calls {
         let (key, call) = decode_call(call)?;
         calls.put(key, call);
     }
     Ok(calls)
 }
 
-fn encode_call(key: &Bytes, call: &CallEntry) -> CallShape {
+fn encode_call(key: &Bytes, call: &CallEntry) -> CallMessage {
     let answer = match &call.status {
         CallStatus::Answered(answer) => Some(answer.clone()),
         CallStatus::Pending | CallStatus::NotRun | CallStatus::Unknown => None,
     };
-    CallShape {
+    CallMessage {
         offset: call.intent,
         author: call.author.to_string(),
         intent: Some(Intent {
@@ -73,20 +73,20 @@
     }
 }
 
-fn decode_call(shape: CallShape) -> Result<(Bytes, CallEntry), CompactString> {
+fn decode_call(message: CallMessage) -> Result<(Bytes, CallEntry), CompactString> {
     let missing = || CompactString::const_new("a call without its intent");
-    let intent = shape.intent.ok_or_else(missing)?;
-    let status = match shape.answer {
+    let intent = message.intent.ok_or_else(missing)?;
+    let status = match message.answer {
         Some(answer) => CallStatus::Answered(answer),
-        None if shape.not_run => CallStatus::NotRun,
-        None if shape.unknown => CallStatus::Unknown,
+        None if message.not_run => CallStatus::NotRun,
+        None if message.unknown => CallStatus::Unknown,
         None => CallStatus::Pending,
     };
     let call = CallEntry {
-        intent: shape.offset,
+        intent: message.offset,
         digest: intent.digest,
         claim: intent.claim,
-        author: shape.author.into(),
+        author: message.author.into(),
         status,
     };
     Ok((intent.key, call))
--- a/crates/state/src/shape/config.rs
+++ b/crates/state/src/encoding/config.rs
@@ -1,4 +1,4 @@
-//! The folded `config` stream as a message.
+//! The encoding of the folded `config` stream.
 
 use crate::config::{AuditEntry, Config, Entry, Refusal};
 use bytes::Bytes;
@@ -9,19 +9,19 @@
 use std::sync::Arc;
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct ConfigShape {
+struct ConfigMessage {
     #[prost(uint64, tag = "1")]
     end: Offset,
     #[prost(message, repeated, tag = "2")]
-    entries: Vec<EntryShape>,
+    entries: Vec<EntryMessage>,
     #[prost(message, repeated, tag = "3")]
-    audit: Vec<AuditShape>,
+    audit: Vec<AuditEntryMessage>,
     #[prost(message, repeated, tag = "4")]
-    deleted: Vec<DeletedShape>,
+    deleted: Vec<DeletedMessage>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct DeletedShape {
+struct DeletedMessage {
     #[prost(string, tag = "1")]
     kind: String,
     #[prost(string, tag = "2")]
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct EntryShape {
+struct EntryMessage {
     #[prost(string, tag = "1")]
     kind: String,
     #[prost(string, tag = "2")]
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct AuditShape {
+struct AuditEntryMessage {
     #[prost(uint64, tag = "1")]
     offset: Offset,
     #[prost(fixed64, tag = "2")]
@@ -75,38 +75,39 @@
 }
 
 pub(crate) fn encode(config: &Config) -> Bytes {
-    let deleted = config.deleted.iter().map(|((kind, name), (offset, generation))| DeletedShape {
-        kind: kind.name().to_owned(),
-        name: name.to_string(),
-        offset: *offset,
-        generation: *generation,
-    });
-    let shape = ConfigShape {
+    let deleted =
+        config.deleted.iter().map(|((kind, name), (offset, generation))| DeletedMessage {
+            kind: kind.name().to_owned(),
+            name: name.to_string(),
+            offset: *offset,
+            generation: *generation,
+        });
+    let message = ConfigMessage {
         end: config.end,
         entries: config.entries.values().map(|entry| encode_entry(entry)).collect(),
-        audit: config.audit.iter().map(|audit| encode_audit(audit)).collect(),
+        audit: config.audit.iter().map(|audit| encode_audit_entry(audit)).collect(),
         deleted: deleted.collect(),
     };
-    shape.encode_to_vec().into()
+    message.encode_to_vec().into()
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<Config, CompactString> {
-    let shape: ConfigShape = super::message(bytes)?;
-    let mut config = Config { end: shape.end, ..Config::default() };
-    for entry in shape.entries {
-        config.put(decode_entry(entry)?);
+    let message: ConfigMessage = super::decode_message(bytes)?;
+    let mut config = Config { end: message.end, ..Config::default() };
+    for entry in message.entries {
+        config.insert_entry(decode_entry(entry)?);
     }
-    for deleted in shape.deleted {
+    for deleted in message.deleted {
         let kind = Kind::from_name(&deleted.kind).map_err(|error| format_compact!("{error}"))?;
         let last = (deleted.offset, deleted.generation);
         config.deleted.insert((kind, deleted.name.into()), last);
     }
-    config.audit = shape.audit.into_iter().map(decode_audit).collect();
+    config.audit = message.audit.into_iter().map(decode_audit_entry).collect();
     Ok(config)
 }
 
-fn encode_entry(entry: &Entry) -> EntryShape {
-    EntryShape {
+fn encode_entry(entry: &Entry) -> EntryMessage {
+    EntryMessage {
         kind: entry.resource.kind.name().to_owned(),
         name: entry.resource.name.to_string(),
         spec: entry.resource.spec.to_string(),
@@ -116,18 +117,18 @@
     }
 }
 
-fn decode_entry(shape: EntryShape) -> Result<Entry, CompactString> {
-    let wrong = |detail: &dyn std::fmt::Display| format_compact!("{}: {detail}", shape.name);
-    let kind = Kind::from_name(&shape.kind).map_err(|error| wrong(&error))?;
-    let spec = serde_json::from_str(&shape.spec).map_err(|error| wrong(&error))?;
-    let resource = Resource { kind, name: shape.name.as_str().into(), spec };
-    let spec = resource.check().map_err(|error| wrong(&error))?;
-    let EntryShape { generation, offset, author, .. } = shape;
+fn decode_entry(message: EntryMessage) -> Result<Entry, CompactString> {
+    let invalid = |detail: &dyn std::fmt::Display| format_compact!("{}: {detail}", message.name);
+    let kind = Kind::from_name(&message.kind).map_err(|error| invalid(&error))?;
+    let spec = serde_json::from_str(&message.spec).map_err(|error| invalid(&error))?;
+    let resource = Resource { kind, name: message.name.as_str().into(), spec };
+    let spec = resource.check().map_err(|error| invalid(&error))?;
+    let EntryMessage { generation, offset, author, .. } = message;
     Ok(Entry { resource, spec, generation, offset, author })
 }
 
-fn encode_audit(audit: &AuditEntry) -> AuditShape {
-    AuditShape {
+fn encode_audit_entry(audit: &AuditEntry) -> AuditEntryMessage {
+    AuditEntryMessage {
         offset: audit.offset,
         id: audit.id,
         author: audit.author.clone(),
@@ -142,20 +143,20 @@
     }
 }
 
-fn decode_audit(shape: AuditShape) -> Arc<AuditEntry> {
-    let refusal = |detail| match shape.conflict {
+fn decode_audit_entry(message: AuditEntryMessage) -> Arc<AuditEntry> {
+    let refusal = |detail| match message.conflict {
         true => Refusal::Conflict(detail),
         false => Refusal::Invalid(detail),
     };
     Arc::new(AuditEntry {
-        offset: shape.offset,
-        id: shape.id,
-        author: shape.author,
-        written_ms: shape.written_ms,
-        kind: shape.kind,
-        name: shape.name,
-        before: shape.before,
-        after: shape.after,
-        outcome: shape.refused.map_or(Ok(shape.generation), |detail| Err(refusal(detail))),
+        offset: message.offset,
+        id: message.id,
+        author: message.author,
+        written_ms: message.written_ms,
+        kind: message.kind,
+        name: message.name,
+        before: message.before,
+        after: message.after,
+        outcome: message.refused.map_or(Ok(message.generation), |detail| Err(refusal(detail))),
     })
 }
--- a/crates/state/src/shape/scopes.rs
+++ b/crates/state/src/encoding/scopes.rs
@@ -1,12 +1,12 @@
-//! Holders of scopes as messages.
+//! The encoding of the holders of scopes.
 
 use crate::scopes::{Holder, Scopes};
 use plat::Offset;
 use std::time::Duration;
 
-/// One held scope.
+/// A held scope.
 #[derive(Clone, PartialEq, prost::Message)]
-pub(super) struct HolderShape {
+pub(super) struct HolderMessage {
     #[prost(string, tag = "1")]
     scope: String,
     #[prost(string, tag = "2")]
@@ -21,30 +21,30 @@
     lease_ms: u64,
 }
 
-pub(super) fn encode(scopes: &Scopes) -> Vec<HolderShape> {
-    let shape = |(scope, holder): (&compact_str::CompactString, &Holder)| HolderShape {
+pub(super) fn encode(scopes: &Scopes) -> Vec<HolderMessage> {
+    let message = |(scope, holder): (&compact_str::CompactString, &Holder)| HolderMessage {
         scope: scope.to_string(),
         process: holder.process.to_string(),
         incarnation: holder.incarnation,
         claim: holder.claim,
         last: holder.last,
-        // Exact: leases come from a record that gives them in milliseconds.
+        // Exact, since the records give leases in milliseconds.
         lease_ms: u64::try_from(holder.lease.as_millis()).unwrap_or(u64::MAX),
     };
-    scopes.iter().map(shape).collect()
+    scopes.iter().map(message).collect()
 }
 
-pub(super) fn decode(shapes: Vec<HolderShape>) -> Scopes {
+pub(super) fn decode(messages: Vec<HolderMessage>) -> Scopes {
     let mut scopes = Scopes::default();
-    for shape in shapes {
+    for message in messages {
         let holder = Holder {
-            process: shape.process.into(),
-            incarnation: shape.incarnation,
-            claim: shape.claim,
-            last: shape.last,
-            lease: Duration::from_millis(shape.lease_ms),
+            process: message.process.into(),
+            incarnation: message.incarnation,
+            claim: message.claim,
+            last: message.last,
+            lease: Duration::from_millis(message.lease_ms),
         };
-        scopes.restore(shape.scope.into(), holder);
+        scopes.restore(message.scope.into(), holder);
     }
     scopes
 }
--- a/crates/state/src/shape/system.rs
+++ b/crates/state/src/encoding/system.rs
@@ -1,6 +1,6 @@
-//! The folded `system` stream as a message.
+//! The encoding of the folded `system` stream.
 
-use super::scopes::{self, HolderShape};
+use super::scopes::{self, HolderMessage};
 use crate::record::{Order, Suspicion};
 use crate::suspects::Crash;
 use crate::system::{AuditEntry, OrderEntry, Outcome, System};
@@ -11,21 +11,21 @@
 use std::sync::Arc;
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SystemShape {
+struct SystemMessage {
     #[prost(uint64, tag = "1")]
     end: Offset,
     #[prost(message, repeated, tag = "2")]
-    holders: Vec<HolderShape>,
+    holders: Vec<HolderMessage>,
     #[prost(message, repeated, tag = "3")]
-    orders: Vec<OrderShape>,
+    orders: Vec<OrderMessage>,
     #[prost(message, repeated, tag = "4")]
-    suspects: Vec<SuspectShape>,
+    suspects: Vec<SuspectMessage>,
     #[prost(message, repeated, tag = "5")]
-    acts: Vec<ActShape>,
+    audit: Vec<AuditEntryMessage>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct OrderShape {
+struct OrderMessage {
     #[prost(uint64, tag = "1")]
     offset: Offset,
     #[prost(string, tag = "2")]
@@ -39,7 +39,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct SuspectShape {
+struct SuspectMessage {
     #[prost(fixed64, tag = "1")]
     fingerprint: u64,
     #[prost(uint64, tag = "2")]
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct ActShape {
+struct AuditEntryMessage {
     #[prost(uint64, tag = "1")]
     offset: Offset,
     #[prost(string, tag = "2")]
@@ -67,39 +67,39 @@
 pub(crate) fn encode(system: &System) -> Bytes {
     let suspects = system.suspects.by_fingerprint.iter().map(|(fingerprint, suspect)| {
         let crashes = suspect.crashes.iter().map(|crash| encode_crash(*fingerprint, crash));
-        SuspectShape { fingerprint: *fingerprint, last: suspect.last, crashes: crashes.collect() }
+        SuspectMessage { fingerprint: *fingerprint, last: suspect.last, crashes: crashes.collect() }
     });
-    let shape = SystemShape {
+    let message = SystemMessage {
         end: system.end,
         holders: scopes::encode(&system.scopes),
         orders: system.orders.values().map(|order| encode_order(order)).collect(),
         suspects: suspects.collect(),
-        acts: system.acts.iter().map(|act| encode_act(act)).collect(),
+        audit: system.audit.iter().map(|entry| encode_audit_entry(entry)).collect(),
     };
-    shape.encode_to_vec().into()
+    message.encode_to_vec().into()
 }
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<System, CompactString> {
-    let shape: SystemShape = super::message(bytes)?;
+    let message: SystemMessage = super::decode_message(bytes)?;
     let mut system = System {
-        scopes: scopes::decode(shape.holders),
-        acts: shape.acts.into_iter().map(decode_act).collect(),
-        end: shape.end,
+        scopes: scopes::decode(message.holders),
+        audit: message.audit.into_iter().map(decode_audit_entry).collect(),
+        end: message.end,
         ..System::default()
     };
-    for order in shape.orders {
+    for order in message.orders {
         system.restore_order(decode_order(order)?);
     }
-    for suspect in shape.suspects {
-        let known = system.suspects.by_fingerprint.entry(suspect.fingerprint).or_default();
-        known.last = suspect.last;
-        known.crashes = suspect.crashes.into_iter().map(decode_crash).collect();
+    for suspect in message.suspects {
+        let restored = system.suspects.by_fingerprint.entry(suspect.fingerprint).or_default();
+        restored.last = suspect.last;
+        restored.crashes = suspect.crashes.into_iter().map(decode_crash).collect();
     }
     Ok(system)
 }
 
-fn encode_order(order: &OrderEntry) -> OrderShape {
-    OrderShape {
+fn encode_order(order: &OrderEntry) -> OrderMessage {
+    OrderMessage {
         offset: order.offset,
         author: order.author.to_string(),
         order: Some(Order {
@@ -113,17 +113,17 @@
     }
 }
 
-fn decode_order(shape: OrderShape) -> Result<OrderEntry, CompactString> {
+fn decode_order(message: OrderMessage) -> Result<OrderEntry, CompactString> {
     let missing = || CompactString::const_new("an order without its content");
-    let order = shape.order.ok_or_else(missing)?;
-    let failure = CompactString::from(shape.failure);
+    let order = message.order.ok_or_else(missing)?;
+    let failure = CompactString::from(message.failure);
     Ok(OrderEntry {
-        offset: shape.offset,
+        offset: message.offset,
         scope: order.scope.into(),
-        author: shape.author.into(),
+        author: message.author.into(),
         target: order.target.into(),
         kind: order.kind.ok_or_else(missing)?,
-        outcome: shape.ended.map(|offset| Outcome { offset, failure }),
+        outcome: message.ended.map(|offset| Outcome { offset, failure }),
     })
 }
 
@@ -133,29 +133,29 @@
     Suspicion { fingerprint, target, incarnation: *incarnation, alone: *alone, cleared: *cleared }
 }
 
-fn decode_crash(shape: Suspicion) -> Crash {
-    let Suspicion { target, incarnation, alone, cleared, .. } = shape;
+fn decode_crash(message: Suspicion) -> Crash {
+    let Suspicion { target, incarnation, alone, cleared, .. } = message;
     Crash { target: target.into(), incarnation, alone, cleared }
 }
 
-fn encode_act(act: &AuditEntry) -> ActShape {
-    ActShape {
-        offset: act.offset,
-        author: act.author.to_string(),
-        written_ms: act.written_ms,
-        subject: act.subject.to_string(),
-        what: act.what.to_string(),
-        valid: act.valid,
+fn encode_audit_entry(entry: &AuditEntry) -> AuditEntryMessage {
+    AuditEntryMessage {
+        offset: entry.offset,
+        author: entry.author.to_string(),
+        written_ms: entry.written_ms,
+        subject: entry.subject.to_string(),
+        what: entry.what.to_string(),
+        valid: entry.valid,
     }
 }
 
-fn decode_act(shape: ActShape) -> Arc<AuditEntry> {
+fn decode_audit_entry(message: AuditEntryMessage) -> Arc<AuditEntry> {
     Arc::new(AuditEntry {
-        offset: shape.offset,
-        author: shape.author.into(),
-        written_ms: shape.written_ms,
-        subject: shape.subject.into(),
-        what: shape.what.into(),
-        valid: shape.valid,
+        offset: message.offset,
+        author: message.author.into(),
+        written_ms: message.written_ms,
+        subject: message.subject.into(),
+        what: message.what.into(),
+        valid: message.valid,
     })
 }
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,69 +1,68 @@
-//! What can go wrong with commands and with reading records.
+//! Errors of commands and of decoding records.
 
 use compact_str::CompactString;
 use plat::Offset;
 
-/// The result of a command or of reading records.
+/// The result of a command or of decoding a record.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// An error of a command, or of a record or snapshot that cannot be read.
+/// An error of a command, or of a record or snapshot that cannot be decoded.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum Error {
-    /// The log failed; after an append it took nothing and never will.
+    /// The log failed; in case of an append, the record was not appended and never will be.
     #[error(transparent)]
     Log(#[from] plat::Error),
-    /// The reply to an append was lost, and reading did not show the record in time: it may
-    /// still appear.
+    /// The reply to an append was lost and the record was not found in time: it may still appear.
     #[error("append to {stream}: record {id:016x} may still appear: {detail}")]
     Unsettled {
         /// The stream.
         stream: CompactString,
         /// The record's id.
         id: u64,
-        /// What was seen last.
+        /// The last error.
         detail: CompactString,
     },
-    /// The record is no record of ours, torn, or of a version that we don't know.
+    /// The record is corrupt, of another program, or of a version that is not supported.
     #[error("record {offset} of {stream}: {detail}")]
     Unreadable {
         /// The stream.
         stream: CompactString,
         /// The record's offset.
         offset: Offset,
-        /// What is wrong with it.
+        /// The cause.
         detail: CompactString,
     },
-    /// A checkpoint or a peer's snapshot is torn, or of a version that we don't know.
+    /// A checkpoint or a peer's snapshot is corrupt, or of a version that is not supported.
     #[error("state of {stream} up to {end}: {detail}")]
     Snapshot {
         /// The stream.
         stream: CompactString,
-        /// The offset up to which it holds the stream.
+        /// The end offset of the state.
         end: Offset,
-        /// What is wrong with it.
+        /// The cause.
         detail: CompactString,
     },
-    /// A peer sent what is no state.
+    /// A peer sent an invalid state.
     #[error("state from {peer}: {detail}")]
     Peer {
         /// The peer.
         peer: CompactString,
-        /// What is wrong with it.
+        /// The cause.
         detail: CompactString,
     },
-    /// The resource is invalid; nothing was appended.
+    /// The resource is invalid; no record was appended.
     #[error(transparent)]
     Invalid(#[from] conf::Error),
-    /// Another change got in first.
+    /// Another change came first.
     #[error("conflict: {detail}")]
     Conflict {
-        /// Who changed what meanwhile.
+        /// The current generation of the resource and its author.
         detail: String,
     },
-    /// The change stands in the log and was refused there by the rules.
+    /// The change is in the log and violates the rules, so all readers refuse it.
     #[error("refused: {detail}")]
     Refused {
-        /// Why.
+        /// The reason.
         detail: String,
     },
 }
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -26,7 +26,7 @@
     /// The log cannot be read; the follower retries.
     #[error("{0}")]
     Unavailable(plat::Error),
-    /// Records that were not applied have expired, and no checkpoint or state of a peer covers them.
+    /// Records that were not applied have expired, and no checkpoint or peer's state covers them.
     #[error("records {end} to {oldest} are gone and no checkpoint covers them")]
     Gap {
         /// The offset of the first record that is not applied.
--- a/crates/state/src/record.rs
+++ b/crates/state/src/record.rs
@@ -1,7 +1,7 @@
-//! The records as they stand in the log, in `prost` messages.
+//! The records in the log, as `prost` messages.
 //!
-//! A field is never reused for another meaning. A reader that meets a newer [`RECORD_VERSION`]
-//! says so and stops there rather than skip what it does not understand.
+//! A field is never reused with another meaning. A reader that finds a newer [`RECORD_VERSION`]
+//! reports it and stops there instead of skipping the record.
 
 use crate::{Error, Result};
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 use plat::Offset;
 use prost::Message;
 
-/// The newest version of records that this code reads and the one that it writes.
+/// The version of the records that this code writes, and the newest that it reads.
 pub const RECORD_VERSION: u32 = 1;
 
 /// One record.
@@ -18,48 +18,48 @@
     /// The version of the record's layout.
     #[prost(uint32, tag = "1")]
     pub version: u32,
-    /// A random id, with which a writer finds its record after a lost reply.
+    /// A random id, by which the writer finds its record after a lost reply.
     #[prost(fixed64, tag = "2")]
     pub id: u64,
     /// The process or operator that wrote it.
     #[prost(string, tag = "3")]
     pub author: String,
-    /// When it was written by the author's clock, in Unix milliseconds; for people only.
+    /// When it was written, by the author's clock, in Unix milliseconds; only for display.
     #[prost(uint64, tag = "4")]
     pub written_ms: u64,
-    /// What it says.
+    /// The content.
     #[prost(oneof = "Body", tags = "10, 11, 12, 13, 14, 15, 16, 17, 18")]
     pub body: Option<Body>,
 }
 
-/// All kinds of records.
+/// The kinds of records.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
     /// A change of a resource.
     #[prost(message, tag = "10")]
     Change(Change),
-    /// A claim of authority.
+    /// A claim of a scope.
     #[prost(message, tag = "11")]
     Claim(Claim),
-    /// A holder's sign of life.
+    /// A renewal or release of a claim.
     #[prost(message, tag = "12")]
     Renewal(Renewal),
-    /// An order to an engine.
+    /// An order for an engine.
     #[prost(message, tag = "13")]
     Order(Order),
-    /// What became of an order.
+    /// The outcome of an order.
     #[prost(message, tag = "14")]
     OrderOutcome(OrderOutcome),
-    /// A call that may not be repeated is about to be dispatched.
+    /// The intent to dispatch a call that may not be repeated.
     #[prost(message, tag = "15")]
     Intent(Intent),
-    /// The recorded answer to such a call.
+    /// The outcome of such a call.
     #[prost(message, tag = "16")]
     Answer(Answer),
-    /// A request was running when its target crashed.
+    /// A crash of a target while a request was running.
     #[prost(message, tag = "17")]
     Suspicion(Suspicion),
-    /// The state of the stream up to an offset.
+    /// A checkpoint of the stream.
     #[prost(message, tag = "18")]
     Checkpoint(Checkpoint),
 }
@@ -73,34 +73,34 @@
     /// The resource's name.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// The new spec as JSON, or none to delete the resource.
+    /// The new spec as JSON; `None` deletes the resource.
     #[prost(string, optional, tag = "3")]
     pub spec: Option<String>,
-    /// The generation that the operator saw, 0 for a new resource; none takes any.
+    /// The generation that the operator has read, 0 for a new resource; `None` for any.
     #[prost(uint64, optional, tag = "4")]
     pub expects: Option<u64>,
 }
 
-/// A claim of authority over a scope, such as `planner/sofia` or `target/engine-1`.
+/// A claim of a scope, such as `planner/sofia` or `target/engine-1`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Claim {
     /// The scope.
     #[prost(string, tag = "1")]
     pub scope: String,
-    /// Offset of the holder's last record in this scope that the claimant saw; none if the
-    /// scope was free. The claim is valid only if it still is the holder's last record.
+    /// Offset of the holder's last record in this scope that the claimant has read; `None` if the
+    /// scope was free. The claim is valid only if that is still the holder's last record.
     #[prost(uint64, optional, tag = "2")]
     pub supersedes: Option<Offset>,
     /// The claimant process's incarnation, so that a restarted process is another holder.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// How long after its last record the holder promises to act on it no more, in
-    /// milliseconds. Decides only when others try to claim.
+    /// The lease in milliseconds: how long after its last record the holder may act under the
+    /// claim. It determines only when others try to claim the scope.
     #[prost(uint64, tag = "4")]
     pub lease_ms: u64,
 }
 
-/// A holder's sign of life.
+/// A renewal or release of a claim.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Renewal {
     /// The scope.
@@ -109,12 +109,12 @@
     /// Offset of the holder's claim.
     #[prost(uint64, tag = "2")]
     pub claim: Offset,
-    /// Whether the holder gives the scope up.
+    /// Whether the holder releases the scope.
     #[prost(bool, tag = "3")]
     pub release: bool,
 }
 
-/// An order to an engine; its own offset is its fencing number.
+/// An order for an engine; its own offset is its fencing token.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Order {
     /// The author's scope, `planner/POOL`.
@@ -126,26 +126,26 @@
     /// The target.
     #[prost(string, tag = "3")]
     pub target: String,
-    /// What to do.
+    /// The action.
     #[prost(oneof = "OrderKind", tags = "10, 11, 12")]
     pub kind: Option<OrderKind>,
 }
 
-/// All kinds of orders.
+/// The kinds of orders.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum OrderKind {
-    /// Change the role to the one named.
+    /// Change to the given role.
     #[prost(string, tag = "10")]
     SetRole(String),
-    /// Load weights.
+    /// Load weights and serve them.
     #[prost(message, tag = "11")]
     Load(Load),
-    /// Stop serving the name.
+    /// Stop serving the given name.
     #[prost(string, tag = "12")]
     Unload(String),
 }
 
-/// Loads weights and serves them.
+/// The weights to load.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Load {
     /// The name under which they are served.
@@ -156,7 +156,7 @@
     pub artifact: String,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OrderOutcome {
     /// The order's offset.
@@ -165,12 +165,12 @@
     /// The target.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// Empty if it is in force, or why it isn't.
+    /// Why the order is not in effect; empty if it is.
     #[prost(string, tag = "3")]
     pub failure: String,
 }
 
-/// A call that may not be repeated is about to be dispatched.
+/// The intent to dispatch a call that may not be repeated.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Intent {
     /// Hash of service, caller and idempotency key.
@@ -187,13 +187,13 @@
     pub claim: Offset,
 }
 
-/// The recorded answer to a call that may not be repeated.
+/// The outcome of a call that may not be repeated, with the answer if there is one.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Answer {
     /// The intent's offset.
     #[prost(uint64, tag = "1")]
     pub intent: Offset,
-    /// The HTTP status, or 0 if the outcome is and stays unknown.
+    /// The HTTP status; 0 if the outcome is unknown and will remain so.
     #[prost(uint32, tag = "2")]
     pub status: u32,
     /// The response's headers, as `name: value` lines.
@@ -202,19 +202,19 @@
     /// The response's body.
     #[prost(bytes = "bytes", tag = "4")]
     pub body: Bytes,
-    /// Whether the body was too long to be recorded.
+    /// Whether the body was omitted because it was too long.
     #[prost(bool, tag = "5")]
     pub body_left_out: bool,
-    /// Whether the target was never reached, so that the key is free again.
+    /// Whether the call has not reached the target, so that the key may be used again.
     #[prost(bool, tag = "6")]
     pub not_run: bool,
-    /// Offset of the author's claim. Only under the intent's own claim may an answer say that
-    /// the call was answered or never run; a later holder may only say that nobody knows.
+    /// Offset of the author's claim. Only under the claim of the intent can a call be recorded as
+    /// answered or not run; a later holder can only record the outcome as unknown.
     #[prost(uint64, tag = "7")]
     pub claim: Offset,
 }
 
-/// A request was running when its target crashed, or is cleared of that.
+/// A crash of a target while a request was running, or the clearing of that request.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Suspicion {
     /// The request's fingerprint.
@@ -223,18 +223,18 @@
     /// The target that crashed.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// The target's incarnation that crashed, so that one crash counts once.
+    /// The incarnation of the target that crashed, so that a crash is counted once.
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
-    /// Whether it ran alone there.
+    /// Whether the request ran alone on the target.
     #[prost(bool, tag = "4")]
     pub alone: bool,
-    /// Whether it has since run to its end, which clears it.
+    /// Whether the request has since run to completion, which clears it.
     #[prost(bool, tag = "5")]
     pub cleared: bool,
 }
 
-/// The state of a stream up to an offset, or one part of it.
+/// A checkpoint, or one part of it: the state of a stream up to an offset.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Checkpoint {
     /// The offset of the first record that is not in the state.
@@ -243,13 +243,13 @@
     /// The encoded state, or this part of it.
     #[prost(bytes = "bytes", tag = "2")]
     pub state: Bytes,
-    /// SHA-256 of the whole encoded state, to meet a torn one.
+    /// SHA-256 of the whole encoded state, to detect a corrupt one.
     #[prost(bytes = "bytes", tag = "3")]
     pub sha256: Bytes,
-    /// Which part this is, from 0.
+    /// The index of this part, from 0.
     #[prost(uint32, tag = "4")]
     pub part: u32,
-    /// How many parts there are; 0 and 1 both mean that this is the whole.
+    /// The number of parts; 0 and 1 both mean that this is the only one.
     #[prost(uint32, tag = "5")]
     pub parts: u32,
     /// The version of the state's layout.
@@ -264,7 +264,7 @@
         Self { version: RECORD_VERSION, id, author, written_ms, body: Some(body) }
     }
 
-    /// Reads the record that stands at `offset` of `stream`.
+    /// Decodes the record at `offset` of `stream`.
     pub fn read(stream: &str, offset: Offset, bytes: &[u8]) -> Result<Self> {
         let unreadable = |detail| Error::Unreadable { stream: stream.into(), offset, detail };
         let record = Self::decode(bytes).map_err(|error| unreadable(format_compact!("{error}")))?;
@@ -275,7 +275,7 @@
         Ok(record)
     }
 
-    /// The record as it is appended.
+    /// Encodes the record.
     pub fn bytes(&self) -> Bytes {
         self.encode_to_vec().into()
     }
--- a/crates/state/src/registry.rs
+++ b/crates/state/src/registry.rs
@@ -1,4 +1,4 @@
-//! The commands on resources: what operators publish.
+//! The commands on resources: publish and delete.
 
 use crate::record::{Body, Change};
 use crate::{Appended, Appender, Config, Error, Result, rules};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Publishes resources in operators' names.
+/// Publishes resources in the names of operators.
 #[derive(Clone)]
 pub struct Registry {
     appender: Appender,
@@ -18,26 +18,26 @@
 /// An accepted change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Accepted {
-    /// The change's offset; a process that has applied it has the change in force.
+    /// The change's offset; it is in effect in each process that has applied this record.
     pub offset: Offset,
-    /// The generation that the resource has now.
+    /// The resource's new generation.
     pub generation: Generation,
 }
 
-/// How long to wait until an appended change is read back. Then its outcome is unsettled.
+/// The longest wait until an appended change is read back; after it the outcome is unsettled.
 const READ_BACK: Duration = Duration::from_secs(10);
 
 impl Registry {
-    /// Makes a registry on the followed `config` stream.
+    /// Makes a registry from an appender and the state of the `config` stream.
     pub fn new(appender: Appender, config: watch::Receiver<Arc<Config>>) -> Self {
         Self { appender, config }
     }
 
-    /// Publishes a resource; `expects` is the generation that the operator saw, 0 for a new
-    /// one, none to take any.
+    /// Publishes a resource; `expects` is the generation that the operator has read, 0 for a new
+    /// resource, `None` for any.
     ///
-    /// Refuses an invalid resource before it is appended. Success means that the change was
-    /// read back from the log and found accepted there, which never reverts.
+    /// An invalid resource is refused before it is appended. Success means that the change was
+    /// read back from the log and was accepted there, which is final.
     pub async fn apply(
         &self,
         operator: &str,
@@ -55,7 +55,7 @@
         self.publish(operator, change).await
     }
 
-    /// Deletes a resource.
+    /// Deletes a resource; `expects` as in [`Registry::apply`].
     pub async fn delete(
         &self,
         operator: &str,
--- a/crates/state/src/rules.rs
+++ b/crates/state/src/rules.rs
@@ -1,13 +1,13 @@
-//! Rules between resources: references must exist, and what must be unique is.
+//! Rules between resources: referenced resources exist, and unique values are unique.
 //!
-//! Each reader applies them at the change's offset, so all accept or refuse it alike, also when
-//! it was appended without the administration API. Errors name the field's path.
+//! Each reader applies them at the change's offset, so all accept or refuse the same changes, also
+//! those appended without the administration API. Errors name the field's path.
 
 use crate::Config;
 use conf::resource::{Adapter, Model, Policy, Target, Version};
 use conf::{Error, Kind, Name, Result, Spec};
 
-/// Checks a spec that is to come into force under `name` against the other resources.
+/// Checks a spec to be published under `name` against the other resources.
 pub fn check(config: &Config, name: &Name, spec: &Spec) -> Result<()> {
     match spec {
         Spec::Model(model) => check_model(config, name, model),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Checks that no other resource refers to the one that is to be deleted.
+/// Checks that no other resource refers to the one to be deleted.
 pub fn check_unused(config: &Config, kind: Kind, name: &Name) -> Result<()> {
     match user(config, kind, name) {
         Some(user) => Err(Error::invalid("name", format!("{user} still refers to it"))),
@@ -41,7 +41,7 @@
             let detail = format!("Version {} belongs to another model", model.version);
             Err(Error::invalid(PATH, detail))
         }
-        None => Err(missing(PATH, Kind::Version, &model.version)),
+        None => Err(not_found(PATH, Kind::Version, &model.version)),
     }
 }
 
@@ -83,12 +83,12 @@
             let detail = format!("Adapter {adapter} belongs to none of the target's models");
             Err(Error::invalid(PATH, detail))
         }
-        None => Err(missing(PATH, Kind::Adapter, adapter)),
+        None => Err(not_found(PATH, Kind::Adapter, adapter)),
     }
 }
 
-/// Two callers with one token could not be told apart, and would see each other's answers; of two
-/// targets with one agent, one would be given the other's work.
+/// Checks values that must be unique. Two callers with the same token could not be distinguished
+/// and would see each other's answers; two targets with the same agent would get each other's work.
 fn check_unique(config: &Config, name: &Name, spec: &Spec) -> Result<()> {
     let Some(owner) = config.owner(spec).filter(|owner| *owner != name) else { return Ok(()) };
     match spec {
@@ -114,7 +114,7 @@
 fn must_exist(config: &Config, path: &'static str, kind: Kind, name: &Name) -> Result<()> {
     match config.get(kind, name) {
         Some(_) => Ok(()),
-        None => Err(missing(path, kind, name)),
+        None => Err(not_found(path, kind, name)),
     }
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-fn missing(path: &'static str, kind: Kind, name: &Name) -> Error {
+fn not_found(path: &'static str, kind: Kind, name: &Name) -> Error {
     Error::invalid(path, format!("there is no {} `{name}`", kind.name()))
 }
 
--- a/crates/state/src/scopes.rs
+++ b/crates/state/src/scopes.rs
@@ -1,4 +1,4 @@
-//! Who holds which scope: claims, renewals and releases, judged by log order alone.
+//! The holders of scopes: claims, renewals and releases, applied in log order alone.
 
 use crate::record::{Claim, Renewal};
 use compact_str::{CompactString, ToCompactString};
@@ -11,24 +11,24 @@
 pub struct Holder {
     /// The process's name.
     pub process: CompactString,
-    /// The process's incarnation, so that a restarted process is another holder.
+    /// The process's incarnation; a restarted process is a different holder.
     pub incarnation: u64,
     /// Offset of its claim.
     pub claim: Offset,
-    /// Offset of its last valid record in the scope; a claim must name it to supersede it.
+    /// Offset of its last valid record in the scope, which a claim must name to supersede it.
     pub last: Offset,
-    /// How long after its last record it promises to act on it no more.
+    /// How long after its last record it may act under the claim.
     pub lease: Duration,
 }
 
 impl Holder {
-    /// Whether this is the incarnation of a process.
+    /// Whether the holder is this incarnation of this process.
     pub fn is(&self, process: &str, incarnation: u64) -> bool {
         self.process == process && self.incarnation == incarnation
     }
 }
 
-/// All scopes of one stream that are held.
+/// The held scopes of one stream.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Scopes {
     holders: OrdMap<CompactString, Holder>,
@@ -45,16 +45,16 @@
         self.holders.iter()
     }
 
-    /// Puts a holder in, from a snapshot.
+    /// Adds a holder from a snapshot.
     pub(crate) fn restore(&mut self, scope: CompactString, holder: Holder) {
         self.holders.insert(scope, holder);
     }
 
-    /// Applies a claim; it is valid only if it names the last record of the holder.
+    /// Applies a claim, which is valid only if it names the last record of the holder.
     ///
-    /// Two claims can be under way at once, or a renewal beside a claim. Whichever stands first
-    /// in the log changes the last record, which makes the other void at every reader.
-    pub(crate) fn claim(
+    /// Two claims, or a claim and a renewal, can be appended concurrently. The first one in the log
+    /// changes the last record, which makes the other void at every reader.
+    pub(crate) fn apply_claim(
         &mut self,
         scope: &str,
         offset: Offset,
@@ -76,23 +76,29 @@
         true
     }
 
-    /// Applies a renewal or release; void unless its author still holds the claim it names.
-    pub(crate) fn renew(
+    /// Applies a renewal or release, which is valid only if its author still holds the named claim.
+    pub(crate) fn apply_renewal(
         &mut self,
         scope: &str,
         offset: Offset,
         author: &str,
         renewal: &Renewal,
     ) -> bool {
-        let valid = self.act(scope, offset, author, renewal.claim);
+        let valid = self.accept(scope, offset, author, renewal.claim);
         if valid && renewal.release {
             self.holders.remove(scope);
         }
         valid
     }
 
-    /// Whether a record at `offset` under `claim` is valid; if so it is the holder's last.
-    pub(crate) fn act(&mut self, scope: &str, offset: Offset, author: &str, claim: Offset) -> bool {
+    /// Checks the claim of a record; if it is valid, `offset` becomes the holder's last record.
+    pub(crate) fn accept(
+        &mut self,
+        scope: &str,
+        offset: Offset,
+        author: &str,
+        claim: Offset,
+    ) -> bool {
         let Some(holder) = self.holders.get_mut(scope) else { return false };
         let valid = holder.claim == claim && holder.process == author;
         if valid {
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! A folded state as bytes: for checkpoints in the log and for peers.
+//! Encoded folded states: for checkpoints in the log and for peers.
 
 use crate::record::{Body, Checkpoint};
 use crate::{Error, Fold, Result};
@@ -9,10 +9,10 @@
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// A folded state as bytes.
+/// An encoded folded state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshot {
-    /// The stream that was folded.
+    /// The stream of the state.
     #[prost(string, tag = "1")]
     pub stream: String,
     /// The offset of the first record that is not in the state.
@@ -29,16 +29,16 @@
     pub sha256: Bytes,
 }
 
-/// The states of several streams; the answer to a peer that asks for the folded state.
+/// The states of several streams; the reply to a peer that queries the folded state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshots {
-    /// One for each stream.
+    /// One snapshot per stream.
     #[prost(message, repeated, tag = "1")]
     pub all: Vec<Snapshot>,
 }
 
 /// The most bytes of state in one record of a checkpoint. Small enough for logs that limit a
-/// record to 1 MiB, also in base64; a state of 4,500 callers takes a few parts.
+/// record to 1 MiB, also in base64; the state of 4,500 callers needs a few parts.
 pub const PART_BYTES: usize = 256 * 1024;
 
 impl Snapshot {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Decodes the state; fails if it is torn or of another version.
+    /// Decodes the state; fails if it is corrupt or of another version.
     pub fn open<F: Fold>(&self) -> Result<F> {
         let error = |detail| Error::Snapshot {
             stream: self.stream.to_compact_string(),
@@ -76,7 +76,7 @@
         Ok(state)
     }
 
-    /// The snapshot as records of a checkpoint.
+    /// Splits the snapshot into the records of a checkpoint.
     pub fn checkpoint(&self) -> Vec<Body> {
         let count = self.state.len().div_ceil(PART_BYTES).max(1);
         let parts = u32::try_from(count).unwrap_or(u32::MAX);
@@ -90,35 +90,35 @@
                 state_version: self.version,
             })
         };
-        let mut rest = self.state.clone();
-        let pieces = (0..parts).map(|number| {
-            let piece = rest.split_to(rest.len().min(PART_BYTES));
-            part(number, piece)
+        let mut remaining = self.state.clone();
+        let chunks = (0..parts).map(|number| {
+            let chunk = remaining.split_to(remaining.len().min(PART_BYTES));
+            part(number, chunk)
         });
-        pieces.collect()
+        chunks.collect()
     }
 }
 
 impl Snapshots {
-    /// Reads what a peer sent.
+    /// Decodes the snapshots that a peer sent.
     pub fn read(peer: &str, bytes: &[u8]) -> Result<Self> {
         Self::decode(bytes)
             .map_err(|error| Error::Peer { peer: peer.into(), detail: error.to_compact_string() })
     }
 
-    /// The snapshots as they are sent.
+    /// Encodes the snapshots.
     pub fn bytes(&self) -> Bytes {
         self.encode_to_vec().into()
     }
 
-    /// Decodes the state of one stream, if it is among them.
+    /// Decodes the state of one stream; `None` if it is not included.
     pub fn open<F: Fold>(&self, stream: &str) -> Option<Result<F>> {
         let found = self.all.iter().find(|snapshot| snapshot.stream == stream);
         found.map(Snapshot::open)
     }
 }
 
-/// Puts the parts of checkpoints together as their records are read.
+/// Assembles checkpoints from their parts as the records are read.
 #[derive(Debug, Default)]
 pub struct Collector {
     parts: BTreeMap<u32, Bytes>,
@@ -126,31 +126,31 @@
     end: Offset,
 }
 
-/// The most parts that are put together, against a torn record that announces billions.
-const PARTS_MAX: u32 = 4_096;
+/// The most parts of a checkpoint, to guard against a corrupt record that announces billions.
+const MAX_PARTS: u32 = 4_096;
 
 impl Collector {
-    /// Takes a part, and gives the whole once it is complete.
+    /// Adds a part; returns the snapshot once all parts are present.
     ///
-    /// Parts of two writers can stand mixed in the log: the digest tells them apart, and the
-    /// newer replaces the older one.
+    /// Parts of two writers can be interleaved in the log: they differ in their digest, and a part
+    /// of another checkpoint discards the parts collected so far.
     pub fn add(&mut self, stream: &str, checkpoint: &Checkpoint) -> Option<Snapshot> {
         if checkpoint.sha256 != self.sha256 || checkpoint.end != self.end {
             self.parts.clear();
             self.sha256 = checkpoint.sha256.clone();
             self.end = checkpoint.end;
         }
-        let parts = checkpoint.parts.clamp(1, PARTS_MAX);
+        let parts = checkpoint.parts.clamp(1, MAX_PARTS);
         if checkpoint.part < parts {
             self.parts.insert(checkpoint.part, checkpoint.state.clone());
         }
         if self.parts.len() != usize::try_from(parts).unwrap_or(usize::MAX) {
             return None;
         }
-        let pieces = std::mem::take(&mut self.parts);
-        let state = pieces.into_values().fold(BytesMut::new(), |mut whole, piece| {
-            whole.extend_from_slice(&piece);
-            whole
+        let chunks = std::mem::take(&mut self.parts);
+        let state = chunks.into_values().fold(BytesMut::new(), |mut bytes, chunk| {
+            bytes.extend_from_slice(&chunk);
+            bytes
         });
         Some(Snapshot {
             stream: stream.to_owned(),
--- a/crates/state/src/suspects.rs
+++ b/crates/state/src/suspects.rs
@@ -1,20 +1,20 @@
 //! Requests that were running when their target crashed.
 //!
-//! One request can crash each target that runs it, and its caller sends it again. After one
-//! crash the request is a suspect, after two at different targets or incarnations it is refused
-//! by the whole fleet. One that was only near is cleared by running to its end.
+//! A request can crash each target that runs it, and its caller retries it. After one crash the
+//! request is a suspect, after two of different targets or incarnations the whole fleet refuses
+//! it. A request that ran there by coincidence is cleared when it runs to completion.
 
 use crate::record::Suspicion;
 use compact_str::CompactString;
 use imbl::OrdMap;
 use plat::Offset;
 
-/// How many crashes refuse a request fleet-wide: one can be bad luck, two on two incarnations
-/// while others ran on are not.
+/// The number of crashes after which the fleet refuses a request. One crash can be a coincidence;
+/// two of different incarnations, while other targets keep running, are not.
 pub const CRASHES_TO_REFUSE: usize = 2;
 
-/// Fingerprints kept; beyond it the one with the oldest news is forgotten. Even with 17 crashes
-/// on an ordinary day of 64 requests each that is over a week.
+/// The most fingerprints kept; beyond it the one with the oldest last record is removed. With 17
+/// crashes per day of targets with 64 requests each, that covers more than a week.
 pub const SUSPECTS_KEPT: usize = 8_192;
 
 /// A fingerprint that was running when a target crashed.
@@ -24,36 +24,36 @@
     pub(crate) last: Offset,
 }
 
-/// One crash.
+/// A crash of a target.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
-    /// The target.
+    /// The target that crashed.
     pub target: CompactString,
-    /// Its incarnation that crashed.
+    /// The incarnation of the target.
     pub incarnation: u64,
-    /// Whether the request ran alone there.
+    /// Whether the request ran alone on it.
     pub alone: bool,
-    /// Whether the request has since run to its end.
+    /// Whether the request has since run to completion.
     pub cleared: bool,
 }
 
 impl Suspect {
-    /// Whether it must run alone, on one target.
+    /// Whether the request must run alone, on one target.
     pub fn is_suspect(&self) -> bool {
         self.crashes().next().is_some()
     }
 
-    /// Whether it is refused by the whole fleet.
+    /// Whether the whole fleet refuses the request.
     pub fn is_refused(&self) -> bool {
         self.crashes().count() >= CRASHES_TO_REFUSE
     }
 
-    /// Whether it has run to its end since its last crash.
+    /// Whether the request has run to completion since its last crash.
     pub fn is_cleared(&self) -> bool {
         !self.is_suspect()
     }
 
-    /// The crashes that count.
+    /// The crashes that were not cleared.
     pub fn crashes(&self) -> impl Iterator<Item = &Crash> {
         self.crashes.iter().filter(|crash| !crash.cleared)
     }
@@ -86,10 +86,10 @@
         let suspect = self.by_fingerprint.entry(suspicion.fingerprint).or_default();
         suspect.last = offset;
         suspect.add(suspicion);
-        self.bound();
+        self.limit_count();
     }
 
-    fn bound(&mut self) {
+    fn limit_count(&mut self) {
         if self.by_fingerprint.len() <= SUSPECTS_KEPT {
             return;
         }
@@ -101,7 +101,7 @@
 }
 
 impl Suspect {
-    /// Adds a crash once: its record may stand twice after a lost reply, and late.
+    /// Adds a crash once; its record can be duplicated after a lost reply, and late.
     fn add(&mut self, suspicion: &Suspicion) {
         let Suspicion { target, incarnation, alone, .. } = suspicion;
         if self.crashes.iter().any(|c| c.target == *target && c.incarnation == *incarnation) {
@@ -116,5 +116,6 @@
     }
 }
 
-/// Crashes kept of one fingerprint: more than refuse it, so that repetitions are still known.
+/// The most crashes kept for one fingerprint; more than [`CRASHES_TO_REFUSE`], so that duplicates
+/// are detected.
 const CRASHES_KEPT: usize = 8;
--- a/crates/state/src/system.rs
+++ b/crates/state/src/system.rs
@@ -1,10 +1,10 @@
-//! The fold of the `system` stream: planners' claims, orders and their outcomes, suspects.
+//! The fold of the `system` stream: claims of planners, orders and their outcomes, and suspects.
 
 use crate::authority::Authority;
 use crate::record::{Body, Order, OrderKind, OrderOutcome, Renewal};
 use crate::scopes::{Holder, Scopes};
 use crate::suspects::{Suspect, Suspects};
-use crate::{Fold, Record, shape};
+use crate::{Fold, Record, encoding};
 use bytes::Bytes;
 use compact_str::CompactString;
 use imbl::{OrdMap, Vector};
@@ -14,62 +14,63 @@
 /// A valid order.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OrderEntry {
-    /// The order's offset, which is its fencing number.
+    /// The order's offset, which is its fencing token.
     pub offset: Offset,
-    /// The scope under which it was given.
+    /// The scope under whose claim it was written.
     pub scope: CompactString,
-    /// Who gave it.
+    /// The process that wrote it.
     pub author: CompactString,
     /// The target.
     pub target: CompactString,
-    /// What to do.
+    /// The action.
     pub kind: OrderKind,
-    /// What became of it; none while it is open.
+    /// The outcome; `None` while the order is open.
     pub outcome: Option<Outcome>,
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// Offset of the record that says so.
+    /// Offset of the record of the outcome.
     pub offset: Offset,
-    /// Why it is not in force; empty if it is.
+    /// Why the order is not in effect; empty if it is.
     pub failure: CompactString,
 }
 
 impl Outcome {
-    /// Whether the order is in force.
+    /// Whether the order is in effect.
     pub fn is_ok(&self) -> bool {
         self.failure.is_empty()
     }
 }
 
-/// One line of the audit trail.
+/// An entry of the audit trail: one claim, order or outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AuditEntry {
     /// The record's offset.
     pub offset: Offset,
-    /// Who wrote it.
+    /// The process that wrote it.
     pub author: CompactString,
-    /// When, by the author's clock, in Unix milliseconds.
+    /// When it was written, by the author's clock, in Unix milliseconds.
     pub written_ms: u64,
-    /// The scope or target it is about.
+    /// The scope or target that it refers to.
     pub subject: CompactString,
-    /// What was done, in words.
+    /// The action as text.
     pub what: CompactString,
-    /// Whether it counts; a void record has no effect anywhere.
+    /// Whether the record is valid; a void record has no effect at any reader.
     pub valid: bool,
 }
 
-/// How many closed orders of one target are kept; the planner looks at the last few only.
+/// The most closed orders kept for one target; the planner uses only the last few.
 pub const CLOSED_ORDERS_KEPT: usize = 4;
 
-/// Targets whose closed orders are kept; beyond it the target with the oldest one is forgotten,
-/// so that years of replaced targets do not fill the memory. Twice the fleet to design for.
+/// The most targets whose orders are kept; beyond it the target whose last order is the oldest is
+/// removed, so that years of replaced targets do not fill the memory. Twice the fleet size that the
+/// system is designed for.
 pub const TARGETS_KEPT: usize = 1_500;
 
-/// Lines of the audit trail that are kept: a day of 1,500 changes, most of which give an order.
-pub const ACTS_KEPT: usize = 2_000;
+/// The most entries in the audit trail: a day of 1,500 changes, most of which cause an order.
+pub const AUDIT_KEPT: usize = 2_000;
 
 /// The folded `system` stream.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -78,7 +79,7 @@
     pub(crate) orders: OrdMap<Offset, Arc<OrderEntry>>,
     pub(crate) by_target: OrdMap<CompactString, Vector<Offset>>,
     pub(crate) suspects: Suspects,
-    pub(crate) acts: Vector<Arc<AuditEntry>>,
+    pub(crate) audit: Vector<Arc<AuditEntry>>,
     pub(crate) end: Offset,
 }
 
@@ -89,12 +90,12 @@
         self.end = offset + 1;
         match &record.body {
             Some(Body::Claim(claim)) => {
-                let valid = self.scopes.claim(&claim.scope, offset, &record.author, claim);
-                self.note(offset, record, &claim.scope, "claim", valid);
+                let valid = self.scopes.apply_claim(&claim.scope, offset, &record.author, claim);
+                self.add_audit_entry(offset, record, &claim.scope, "claim", valid);
             }
-            Some(Body::Renewal(renewal)) => self.renew(offset, record, renewal),
-            Some(Body::Order(order)) => self.order_given(offset, record, order),
-            Some(Body::OrderOutcome(outcome)) => self.order_ended(offset, record, outcome),
+            Some(Body::Renewal(renewal)) => self.apply_renewal(offset, record, renewal),
+            Some(Body::Order(order)) => self.apply_order(offset, record, order),
+            Some(Body::OrderOutcome(outcome)) => self.apply_outcome(offset, record, outcome),
             Some(Body::Suspicion(suspicion)) => self.suspects.apply(offset, suspicion),
             Some(Body::Change(_) | Body::Intent(_) | Body::Answer(_) | Body::Checkpoint(_))
             | None => {}
@@ -106,11 +107,11 @@
     }
 
     fn encode(&self) -> Bytes {
-        shape::system::encode(self)
+        encoding::system::encode(self)
     }
 
     fn decode(bytes: &[u8]) -> Result<Self, CompactString> {
-        shape::system::decode(bytes)
+        encoding::system::decode(bytes)
     }
 }
 
@@ -126,18 +127,18 @@
         self.scopes.get(scope)
     }
 
-    /// All scopes that are held, with their holders.
+    /// All held scopes with their holders.
     pub fn holders(&self) -> impl Iterator<Item = (&CompactString, &Holder)> {
         self.scopes.iter()
     }
 
-    /// The valid orders to a target in offset order: all open ones and the last closed ones.
+    /// The valid orders for a target by offset: all open ones and the last closed ones.
     pub fn orders(&self, target: &str) -> impl Iterator<Item = &OrderEntry> {
         let offsets = self.by_target.get(target).into_iter().flatten();
         offsets.filter_map(|offset| self.order(*offset))
     }
 
-    /// The orders to a target that have no outcome yet, in offset order.
+    /// The orders for a target that have no outcome yet, by offset.
     pub fn open_orders(&self, target: &str) -> impl Iterator<Item = &OrderEntry> {
         self.orders(target).filter(|order| order.outcome.is_none())
     }
@@ -147,33 +148,33 @@
         self.orders.get(&offset).map(|order| &**order)
     }
 
-    /// What is known of a request's fingerprint.
+    /// The crashes recorded for a request's fingerprint.
     pub fn suspect(&self, fingerprint: u64) -> Option<&Suspect> {
         self.suspects.get(fingerprint)
     }
 
-    /// All fingerprints that crashed a target and have not been cleared since.
+    /// All fingerprints with a crash that was not cleared.
     pub fn suspects(&self) -> impl Iterator<Item = (u64, &Suspect)> {
         self.suspects.iter()
     }
 
-    /// Recent claims, orders and outcomes, oldest first, void ones among them.
+    /// Recent claims, orders and outcomes, oldest first, including void ones.
     pub fn audit(&self) -> impl Iterator<Item = &AuditEntry> {
-        self.acts.iter().map(|act| &**act)
+        self.audit.iter().map(|entry| &**entry)
     }
 
-    fn renew(&mut self, offset: Offset, record: &Record, renewal: &Renewal) {
-        let valid = self.scopes.renew(&renewal.scope, offset, &record.author, renewal);
+    fn apply_renewal(&mut self, offset: Offset, record: &Record, renewal: &Renewal) {
+        let valid = self.scopes.apply_renewal(&renewal.scope, offset, &record.author, renewal);
         if renewal.release || !valid {
             let what = if renewal.release { "release" } else { "renewal" };
-            self.note(offset, record, &renewal.scope, what, valid);
+            self.add_audit_entry(offset, record, &renewal.scope, what, valid);
         }
     }
 
-    fn order_given(&mut self, offset: Offset, record: &Record, order: &Order) {
-        let valid = self.scopes.act(&order.scope, offset, &record.author, order.claim);
+    fn apply_order(&mut self, offset: Offset, record: &Record, order: &Order) {
+        let valid = self.scopes.accept(&order.scope, offset, &record.author, order.claim);
         let valid = valid && order.kind.is_some();
-        self.note(offset, record, &order.target, &describe(order.kind.as_ref()), valid);
+        self.add_audit_entry(offset, record, &order.target, &describe(order.kind.as_ref()), valid);
         let Some(kind) = order.kind.clone().filter(|_| valid) else { return };
         let entry = OrderEntry {
             offset,
@@ -184,7 +185,7 @@
             outcome: None,
         };
         self.restore_order(entry);
-        self.bound_targets();
+        self.limit_targets();
     }
 
     pub(crate) fn restore_order(&mut self, entry: OrderEntry) {
@@ -193,12 +194,12 @@
         self.orders.insert(entry.offset, Arc::new(entry));
     }
 
-    /// Records the first outcome of an order; a second one is a repetition after a lost reply.
-    fn order_ended(&mut self, offset: Offset, record: &Record, outcome: &OrderOutcome) {
-        let open = self.order(outcome.order);
-        let open = open.is_some_and(|o| o.target == outcome.target && o.outcome.is_none());
+    /// Applies the first outcome of an order; another one is a duplicate after a lost reply.
+    fn apply_outcome(&mut self, offset: Offset, record: &Record, outcome: &OrderOutcome) {
+        let order = self.order(outcome.order);
+        let open = order.is_some_and(|o| o.target == outcome.target && o.outcome.is_none());
         let what = if outcome.failure.is_empty() { "done" } else { outcome.failure.as_str() };
-        self.note(offset, record, &outcome.target, what, open);
+        self.add_audit_entry(offset, record, &outcome.target, what, open);
         if !open {
             return;
         }
@@ -206,25 +207,25 @@
             let failure = outcome.failure.as_str().into();
             Arc::make_mut(entry).outcome = Some(Outcome { offset, failure });
         }
-        self.bound_orders(&outcome.target);
+        self.limit_closed_orders(&outcome.target);
     }
 
-    /// Forgets a target's oldest closed orders beyond the bound.
-    fn bound_orders(&mut self, target: &str) {
+    /// Removes a target's oldest closed orders beyond the limit.
+    fn limit_closed_orders(&mut self, target: &str) {
         let Some(offsets) = self.by_target.get_mut(target) else { return };
         let orders = &mut self.orders;
         let closed = |orders: &OrdMap<Offset, Arc<OrderEntry>>, offset: &Offset| {
             orders.get(offset).is_some_and(|order| order.outcome.is_some())
         };
         while offsets.iter().filter(|o| closed(orders, o)).count() > CLOSED_ORDERS_KEPT {
-            let Some(place) = offsets.iter().position(|o| closed(orders, o)) else { return };
-            let offset = offsets.remove(place);
+            let Some(index) = offsets.iter().position(|o| closed(orders, o)) else { return };
+            let offset = offsets.remove(index);
             orders.remove(&offset);
         }
     }
 
-    /// Forgets the target that had no order for longest beyond the bound.
-    fn bound_targets(&mut self) {
+    /// Removes the target whose last order is the oldest, if there are too many.
+    fn limit_targets(&mut self) {
         if self.by_target.len() <= TARGETS_KEPT {
             return;
         }
@@ -235,8 +236,15 @@
         }
     }
 
-    fn note(&mut self, offset: Offset, record: &Record, subject: &str, what: &str, valid: bool) {
-        self.acts.push_back(Arc::new(AuditEntry {
+    fn add_audit_entry(
+        &mut self,
+        offset: Offset,
+        record: &Record,
+        subject: &str,
+        what: &str,
+        valid: bool,
+    ) {
+        self.audit.push_back(Arc::new(AuditEntry {
             offset,
             author: record.author.as_str().into(),
             written_ms: record.written_ms,
@@ -244,8 +252,8 @@
             what: what.into(),
             valid,
         }));
-        if self.acts.len() > ACTS_KEPT {
-            self.acts.pop_front();
+        if self.audit.len() > AUDIT_KEPT {
+            self.audit.pop_front();
         }
     }
 }
