--- a/crates/plat/src/epoch.rs
+++ b/crates/plat/src/epoch.rs
@@ -1,32 +1,34 @@
-//! Positions in a log that may come back from an older copy of itself.
+//! Offsets in a log that may be restored from an older copy.
 //!
-//! Such a log gives places out again that stood for other records before. Each copy begins an epoch, and
-//! an [`Offset`] holds the epoch above the place: a position of a later epoch is larger than all of the
-//! earlier ones, so whoever compares offsets goes by the newest copy, and fences made of offsets rise for
-//! ever. A log that never goes back has one epoch, and its offsets are places.
+//! A restored log assigns indices again that other records had before. Each restore begins an
+//! epoch, and an [`Offset`] holds the epoch in the bits above the index. An offset of a later epoch
+//! is therefore larger than all earlier ones: comparisons prefer the newest copy, and fencing
+//! tokens made from offsets always increase. A log that is never restored has a single epoch, and
+//! its offsets are indices.
 
 use crate::Offset;
 
-/// How many times a log has come back from an older copy, counted from any number.
+/// The number of times a log was restored from an older copy, starting from any number.
 pub type Epoch = u64;
 
-/// Bits of the place in an offset.
-const PLACE_BITS: u32 = 40;
+/// The bits of the index in an offset.
+const INDEX_BITS: u32 = 40;
 
-/// The last epoch whose offsets stay below 2^53, up to which every reader of JSON tells integers apart.
-pub const LAST: Epoch = (1 << (53 - PLACE_BITS)) - 1;
+/// The last epoch whose offsets are below 2^53, up to which every JSON parser represents integers
+/// exactly.
+pub const LAST: Epoch = (1 << (53 - INDEX_BITS)) - 1;
 
-/// The offset of a place in an epoch; `None` if either is too large.
-pub fn offset(epoch: Epoch, place: u64) -> Option<Offset> {
-    (epoch <= LAST && place < 1 << PLACE_BITS).then_some((epoch << PLACE_BITS) + place)
+/// The offset of an index in an epoch; `None` if either is too large.
+pub fn offset(epoch: Epoch, index: u64) -> Option<Offset> {
+    (epoch <= LAST && index < 1 << INDEX_BITS).then_some((epoch << INDEX_BITS) + index)
 }
 
 /// The epoch of an offset.
 pub fn epoch(offset: Offset) -> Epoch {
-    offset >> PLACE_BITS
+    offset >> INDEX_BITS
 }
 
-/// The place of an offset in its epoch: how many records of the stream stand before it.
+/// The index of an offset in its epoch: the number of records of the stream before it.
 pub fn index(offset: Offset) -> u64 {
-    offset & ((1 << PLACE_BITS) - 1)
+    offset & ((1 << INDEX_BITS) - 1)
 }
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with the platform.
+//! Errors of calls to the platform.
 
 use crate::Offset;
 use compact_str::CompactString;
@@ -6,49 +6,49 @@
 /// The result of a call to the platform.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// An error from the platform, with the step and the service at which it arose.
+/// An error of a call to the platform, with the step and the service.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum Error {
-    /// The service took nothing: the call had no effect.
+    /// The service did not accept the call, which had no effect.
     #[error("{step} at {peer}: unavailable: {detail}")]
     Unavailable {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The service's address.
         peer: CompactString,
-        /// What was seen.
+        /// The cause.
         detail: CompactString,
     },
     /// The reply was lost: the call may or may not have taken effect.
     #[error("{step} at {peer}: no reply: {detail}")]
     Unsettled {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The service's address.
         peer: CompactString,
-        /// What was seen.
+        /// The cause.
         detail: CompactString,
     },
-    /// The records asked for are gone; the oldest that is kept has this offset.
+    /// The requested records have expired.
     #[error("read of {stream}: records before {oldest} are no longer kept")]
     Gone {
-        /// The stream read.
+        /// The stream.
         stream: CompactString,
-        /// The oldest offset that is still kept.
+        /// The oldest offset that is retained.
         oldest: Offset,
     },
-    /// A conditional append found another end of the stream: nothing was appended.
+    /// A conditional append found a different end of the stream: nothing was appended.
     #[error("append to {stream}: it ends at {end}")]
     Conflict {
         /// The stream.
         stream: CompactString,
-        /// Where it ends.
+        /// The end offset of the stream.
         end: Offset,
     },
-    /// The service refused the call for good.
+    /// The service refused the call; a retry would be refused as well.
     #[error("{step} at {peer}: refused: {detail}")]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
         /// The service's address.
         peer: CompactString,
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform's services over HTTP with JSON bodies; records travel in base64.
+//! The client of the platform's services over HTTP with JSON bodies; records are in base64.
 
 use crate::{Artifact, Batch, Entry, Error, Log, Offset, Result, Vm, VmList, WeightStore};
 use async_trait::async_trait;
@@ -20,7 +20,7 @@
     timeout: Duration,
 }
 
-/// Body of an append.
+/// The body of an append request.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct AppendBody {
@@ -29,23 +29,23 @@
     pub records: Vec<Vec<u8>>,
 }
 
-/// Answer to an append.
+/// The response to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Appended {
     /// Offset of the first record.
     pub offset: Offset,
 }
 
-/// Answer to a read.
+/// The response to a read.
 #[serde_as]
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReadBody {
-    /// Offset of the first record below, meaningless if there is none.
+    /// Offset of the first record in `records`; meaningless if there is none.
     pub first: Offset,
     /// The records, each in base64.
     #[serde_as(as = "Vec<Base64>")]
     pub records: Vec<Vec<u8>>,
-    /// The oldest offset that is still kept.
+    /// The oldest offset that is retained.
     pub oldest: Offset,
     /// The offset of the next record.
     pub end: Offset,
@@ -75,7 +75,7 @@
             .map_err(|error| self.refused(step, &error))?;
         let exchange = async {
             let response = self.client.request(request).await.map_err(|error| {
-                // A connection that never came about has carried nothing.
+                // Without a connection nothing was sent.
                 if error.is_connect() {
                     self.unavailable(step, &error)
                 } else {
@@ -109,7 +109,7 @@
         Error::Refused { step, peer: self.address.clone(), detail: detail.to_compact_string() }
     }
 
-    fn status(&self, step: &'static str, status: StatusCode, body: &[u8]) -> Result<()> {
+    fn check_status(&self, step: &'static str, status: StatusCode, body: &[u8]) -> Result<()> {
         let detail = format_compact!("{status}: {}", String::from_utf8_lossy(body));
         match status {
             StatusCode::OK => Ok(()),
@@ -131,7 +131,7 @@
         let path = format!("/streams/{stream}");
         let (status, body) =
             self.call(STEP, Method::POST, &path, body.into(), Duration::ZERO).await?;
-        self.status(STEP, status, &body)?;
+        self.check_status(STEP, status, &body)?;
         Ok(self.parse::<Appended>(STEP, &body)?.offset)
     }
 
@@ -150,7 +150,7 @@
             let oldest = self.parse::<ReadBody>(STEP, &body)?.oldest;
             return Err(Error::Gone { stream: stream.to_compact_string(), oldest });
         }
-        self.status(STEP, status, &body)?;
+        self.check_status(STEP, status, &body)?;
         let read: ReadBody = self.parse(STEP, &body)?;
         let numbered = (read.first..).zip(read.records);
         let entries = numbered.map(|(offset, bytes)| Entry { offset, bytes: bytes.into() });
@@ -164,7 +164,7 @@
         const STEP: &str = "list VMs";
         let (status, body) =
             self.call(STEP, Method::GET, "/vms", Bytes::new(), Duration::ZERO).await?;
-        self.status(STEP, status, &body)?;
+        self.check_status(STEP, status, &body)?;
         self.parse(STEP, &body)
     }
 }
@@ -176,7 +176,7 @@
         let path = format!("/artifacts/{name}");
         let (status, body) =
             self.call(STEP, Method::GET, &path, Bytes::new(), Duration::ZERO).await?;
-        self.status(STEP, status, &body)?;
+        self.check_status(STEP, status, &body)?;
         self.parse(STEP, &body)
     }
 }
--- a/crates/plat/src/keyed.rs
+++ b/crates/plat/src/keyed.rs
@@ -1,4 +1,4 @@
-//! Streams of the log that keep the newest record of each key for good.
+//! Compacted streams of the log, which retain the newest record of each key.
 
 use crate::{Entry, Log, Offset, Result};
 use async_trait::async_trait;
@@ -9,27 +9,27 @@
 /// A record of a keyed stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Its place.
+    /// The offset.
     pub offset: Offset,
-    /// Its key.
+    /// The key.
     pub key: CompactString,
-    /// Its value; none if the key was removed.
+    /// The value; `None` if the key was removed.
     pub value: Option<Bytes>,
 }
 
 impl Record {
-    /// The plain form of a keyed record: one byte with the length of the key, the key, the value.
-    /// `None` for a key of more than 255 bytes.
+    /// Encodes a record: one byte with the length of the key, the key, the value. `None` for a key
+    /// of more than 255 bytes.
     pub fn encode(key: &str, value: &[u8]) -> Option<Bytes> {
         let length = u8::try_from(key.len()).ok()?;
-        let mut plain = BytesMut::with_capacity(1 + key.len() + value.len());
-        plain.put_u8(length);
-        plain.put_slice(key.as_bytes());
-        plain.put_slice(value);
-        Some(plain.freeze())
+        let mut bytes = BytesMut::with_capacity(1 + key.len() + value.len());
+        bytes.put_u8(length);
+        bytes.put_slice(key.as_bytes());
+        bytes.put_slice(value);
+        Some(bytes.freeze())
     }
 
-    /// Reads the plain form; `None` if it holds no key. Without a value the key was removed.
+    /// Decodes a record; `None` if it has no key. A record without a value removes its key.
     pub fn decode(entry: Entry) -> Option<Self> {
         let Entry { offset, mut bytes } = entry;
         let length = usize::from(bytes.try_get_u8().ok()?);
@@ -46,7 +46,7 @@
 pub struct Newest {
     /// The records, by key.
     pub records: Vec<Record>,
-    /// Where to go on reading: all that is newer than the records stands from here on.
+    /// The offset from which to read changes: all newer records are at or above it.
     pub end: Offset,
 }
 
@@ -56,7 +56,7 @@
     /// Reads the newest record of each key.
     async fn newest(&self, stream: &str) -> Result<Newest>;
 
-    /// Reads records from offset `from`, as [`Log::read`] does, and returns where to go on.
+    /// Reads records from offset `from`, as [`Log::read`] does; returns them and the next offset.
     async fn changes(
         &self,
         stream: &str,
@@ -66,6 +66,6 @@
 
     /// Appends `record` if the stream ends at `at`, and returns its offset.
     ///
-    /// Fails with [`crate::Error::Conflict`] if it ends elsewhere.
+    /// Fails with [`crate::Error::Conflict`] if it ends at another offset.
     async fn append_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset>;
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,7 +1,7 @@
-//! The platform's services as the rest of the system sees them: log, weight store, VM list.
+//! The services of the platform that the system uses: log, weight store, VM list.
 //!
-//! Each is one trait here and one HTTP client in a module of its own. A platform of another
-//! shape is met by adding one file that implements the trait.
+//! Each service is a trait, implemented by the HTTP client in [`http`]. A different platform needs
+//! another implementation of the traits.
 
 pub mod epoch;
 mod error;
--- a/crates/plat/src/log.rs
+++ b/crates/plat/src/log.rs
@@ -6,7 +6,7 @@
 use compact_str::{CompactString, format_compact};
 use std::time::Duration;
 
-/// A record's place in its stream, counted from 0, with the epoch of the log, see [`crate::epoch`].
+/// The index of a record in its stream, from 0, with the epoch of the log; see [`crate::epoch`].
 pub type Offset = u64;
 
 /// Name of a stream of the log.
@@ -18,19 +18,19 @@
 /// The stream of claims, orders, outcomes and statuses.
 pub const SYSTEM_STREAM: &str = "system";
 
-/// The stream of the claim on one target and of the calls that may not be repeated there.
+/// The stream of the claim on one target and of its calls that may not be repeated.
 ///
-/// One stream a target keeps each reader's share small: only the target's agent follows it.
+/// With one stream per target each process reads little: only the target's agent follows it.
 pub fn calls_stream(target: &str) -> StreamName {
     format_compact!("calls.{target}")
 }
 
-/// One record as it stands in the log.
+/// A record in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Its place.
+    /// The offset.
     pub offset: Offset,
-    /// Its content.
+    /// The content.
     pub bytes: Bytes,
 }
 
@@ -39,23 +39,23 @@
 pub struct Batch {
     /// The records, in order and without gaps.
     pub entries: Vec<Entry>,
-    /// The oldest offset that is still kept.
+    /// The oldest offset that is retained.
     pub oldest: Offset,
-    /// The offset that the next appended record will have at the earliest.
+    /// The lowest offset that the next appended record can have.
     pub end: Offset,
 }
 
 /// The log service.
 #[async_trait]
 pub trait Log: Send + Sync {
-    /// Appends `records` side by side and returns the first one's offset.
+    /// Appends `records` without a gap and returns the offset of the first.
     ///
-    /// After [`crate::Error::Unsettled`] they may stand in the log or not: read to find out.
+    /// After [`crate::Error::Unsettled`] they may or may not be in the log; only a read shows it.
     async fn append(&self, stream: &str, records: Vec<Bytes>) -> Result<Offset>;
 
-    /// Reads at most `limit` records from offset `from`; waits up to `wait` for the first.
+    /// Reads at most `limit` records from offset `from`; waits up to `wait` for the first one.
     ///
-    /// Fails with [`crate::Error::Gone`] if `from` is older than the oldest kept record.
+    /// Fails with [`crate::Error::Gone`] if `from` is older than the oldest retained record.
     async fn read(&self, stream: &str, from: Offset, limit: usize, wait: Duration)
     -> Result<Batch>;
 }
--- a/crates/plat/src/weights.rs
+++ b/crates/plat/src/weights.rs
@@ -1,4 +1,4 @@
-//! The platform's weight store, which limits how fast it is read.
+//! The platform's weight store, which limits the rate of reads.
 
 use crate::Result;
 use async_trait::async_trait;
@@ -19,6 +19,6 @@
 /// The weight store.
 #[async_trait]
 pub trait WeightStore: Send + Sync {
-    /// Looks an artifact up; fails with [`crate::Error::Refused`] if there is none.
+    /// Looks up an artifact; fails with [`crate::Error::Refused`] if there is none.
     async fn stat(&self, name: &str) -> Result<Artifact>;
 }
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -6,7 +6,7 @@
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The largest frame accepted, in bytes; above the largest caller body that an entry lets in.
+/// The largest accepted frame, in bytes; above the largest request body that an entry accepts.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// Encodes and decodes [`Frame`]s for one peer.
@@ -17,7 +17,7 @@
 }
 
 impl Codec {
-    /// Makes the codec of the connection to `peer`, an address used in errors only.
+    /// Makes the codec of the connection to `peer`, an address used only in errors.
     pub fn new(peer: CompactString) -> Self {
         let lengths = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         Self { lengths, peer }
--- a/crates/wire/src/connection.rs
+++ b/crates/wire/src/connection.rs
@@ -1,4 +1,4 @@
-//! One framed connection to a peer.
+//! A framed connection to a peer.
 
 use crate::{Codec, Error, Frame, Pipe, Result};
 use compact_str::CompactString;
@@ -6,30 +6,30 @@
 use futures_util::{SinkExt, StreamExt};
 use tokio_util::codec::Framed;
 
-/// A framed connection that is not yet split into its two halves.
+/// A framed connection before it is split into its two halves.
 pub struct Connection {
     framed: Framed<Pipe, Codec>,
     peer: CompactString,
 }
 
-/// The half of a connection that receives.
+/// The receiving half of a connection.
 pub struct Reader {
     frames: SplitStream<Framed<Pipe, Codec>>,
     peer: CompactString,
 }
 
-/// The half of a connection that sends.
+/// The sending half of a connection.
 pub struct Writer {
     frames: SplitSink<Framed<Pipe, Codec>, Frame>,
 }
 
 impl Connection {
-    /// Frames `pipe`, whose other side is `peer` (an address, for errors and logs).
+    /// Makes a connection over `pipe` to `peer`, an address used in errors and logs.
     pub fn new(pipe: Pipe, peer: CompactString) -> Self {
         Self { framed: Framed::new(pipe, Codec::new(peer.clone())), peer }
     }
 
-    /// The other side's address.
+    /// The peer's address.
     pub fn peer(&self) -> &CompactString {
         &self.peer
     }
@@ -39,7 +39,7 @@
         self.framed.send(frame).await
     }
 
-    /// Receives the next frame; a closed connection is an error here, since `step` waits for it.
+    /// Receives the frame that `step` waits for; a closed connection is an error.
     pub async fn receive(&mut self, step: &'static str) -> Result<Frame> {
         match self.framed.next().await {
             Some(frame) => frame,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Splits the connection for a task that reads and one that writes.
+    /// Splits the connection, for a task that receives and one that sends.
     pub fn split(self) -> (Reader, Writer) {
         let (sink, stream) = self.framed.split();
         (Reader { frames: stream, peer: self.peer }, Writer { frames: sink })
@@ -55,24 +55,24 @@
 }
 
 impl Reader {
-    /// Receives the next frame, or `None` when the peer has closed the connection.
+    /// Receives the next frame; `None` if the peer has closed the connection.
     pub async fn next(&mut self) -> Option<Result<Frame>> {
         self.frames.next().await
     }
 
-    /// The other side's address.
+    /// The peer's address.
     pub fn peer(&self) -> &CompactString {
         &self.peer
     }
 }
 
 impl Writer {
-    /// Queues a frame without flushing, so that several share one system call.
+    /// Queues a frame without a flush, so that several frames share one system call.
     pub async fn feed(&mut self, frame: Frame) -> Result<()> {
         self.frames.feed(frame).await
     }
 
-    /// Sends all frames that were fed.
+    /// Sends all queued frames.
     pub async fn flush(&mut self) -> Result<()> {
         self.frames.flush().await
     }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,56 +1,56 @@
-//! What can go wrong between two of our processes.
+//! Errors of links and connections between processes.
 
 use compact_str::CompactString;
 
 /// The result of an operation on a link or connection.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// An error on the way to or from a peer, with the step and the peer at which it arose.
+/// An error of a link or connection, with the step and the peer.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The transport failed.
     #[error("{step} with {peer}: {source}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The other side's address.
+        /// The peer's address.
         peer: CompactString,
-        /// The transport's own error.
+        /// The error of the transport.
         #[source]
         source: std::io::Error,
     },
-    /// The peer sent something that is no frame, or not the frame that was due.
+    /// The peer sent an invalid or unexpected frame.
     #[error("{step} with {peer}: {detail}")]
     Protocol {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The other side's address.
+        /// The peer's address.
         peer: CompactString,
-        /// What was wrong with it.
+        /// The cause.
         detail: CompactString,
     },
-    /// The peer speaks another version of the protocol.
-    #[error("handshake with {peer}: it speaks version {theirs}, we speak {ours}")]
+    /// The peer uses another version of the protocol.
+    #[error("handshake with {peer}: its protocol version is {theirs}, ours is {ours}")]
     Version {
-        /// The other side's address.
+        /// The peer's address.
         peer: CompactString,
         /// The peer's protocol version.
         theirs: u32,
-        /// Our protocol version.
+        /// This process's protocol version.
         ours: u32,
     },
-    /// The peer does not know the shared key.
-    #[error("handshake with {peer}: its proof of the shared key is wrong")]
+    /// The peer does not have the shared key.
+    #[error("handshake with {peer}: its proof of the shared key is invalid")]
     Untrusted {
-        /// The other side's address.
+        /// The peer's address.
         peer: CompactString,
     },
-    /// The connection was closed by the peer.
+    /// The peer closed the connection.
     #[error("{step} with {peer}: the connection is closed")]
     Closed {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The other side's address.
+        /// The peer's address.
         peer: CompactString,
     },
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,12 +1,12 @@
-//! The messages that travel between an entry and an agent.
+//! The messages between an entry and an agent.
 
 use crate::{AttemptId, Hello, Load, Proof, Request};
 use bytes::Bytes;
 
-/// One message.
+/// A frame: one message.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Frame {
-    /// The message itself; absent only in a frame of a newer version.
+    /// The message; `None` only in a frame of a newer version.
     #[prost(oneof = "Body", tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub body: Option<Body>,
 }
@@ -18,61 +18,61 @@
     }
 }
 
-/// All kinds of messages.
+/// The kinds of messages.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Body {
-    /// First frame of either side.
+    /// The first frame of each side.
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// Second frame of either side.
+    /// The second frame of each side.
     #[prost(message, tag = "2")]
     Proof(Proof),
-    /// Entry to agent: run or hold a request.
+    /// Entry to agent: run a request, or queue it and offer it.
     #[prost(message, tag = "3")]
     Submit(Submit),
-    /// Entry to agent: start the held request that was offered.
+    /// Entry to agent: start a request that was offered.
     #[prost(message, tag = "4")]
     Begin(Begin),
-    /// Entry to agent: forget the attempt and stop its work.
+    /// Entry to agent: cancel an attempt and stop its work.
     #[prost(message, tag = "5")]
     Cancel(Cancel),
     /// Entry to agent: more events of an attempt may be sent.
     #[prost(message, tag = "6")]
     Credit(Credit),
-    /// Agent to entry: something happened to an attempt.
+    /// Agent to entry: an event of an attempt.
     #[prost(message, tag = "7")]
     Event(Event),
-    /// Either side: are you there?
+    /// Either side: a heartbeat.
     #[prost(message, tag = "8")]
     Ping(Ping),
-    /// Either side: answer to a ping.
+    /// Either side: the response to a ping.
     #[prost(message, tag = "9")]
     Pong(Pong),
-    /// Either side: a question outside any attempt.
+    /// Either side: a query that belongs to no attempt.
     #[prost(message, tag = "10")]
     Query(Query),
-    /// Either side: answer to a question.
+    /// Either side: the reply to a query.
     #[prost(message, tag = "11")]
     Reply(Reply),
-    /// Entry to agent: go on with an answer that another entry began to deliver.
+    /// Entry to agent: continue an answer that another entry began to deliver.
     #[prost(message, tag = "12")]
     Attach(Attach),
 }
 
-/// Hands a request to an agent.
+/// Submits a request to an agent.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Submit {
-    /// The attempt that this submission is.
+    /// The attempt under which the request is submitted.
     #[prost(uint64, tag = "1")]
     pub attempt: AttemptId,
     /// The request.
     #[prost(message, optional, tag = "2")]
     pub request: Option<Request>,
-    /// Whether the agent must offer the request and wait for [`Begin`] before it starts it,
-    /// because it waits at another agent too.
+    /// Whether the agent must offer the request and wait for [`Begin`] before it starts it, because
+    /// the request is queued at another agent too.
     #[prost(bool, tag = "3")]
     pub hold: bool,
-    /// How many events the agent may send before it needs more [`Credit`].
+    /// The number of events that the agent may send before it needs more [`Credit`].
     #[prost(uint32, tag = "4")]
     pub credit: u32,
 }
@@ -85,26 +85,26 @@
     pub attempt: AttemptId,
 }
 
-/// Ends an attempt from the entry's side.
+/// Cancels an attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Cancel {
-    /// The attempt to end.
+    /// The attempt to cancel.
     #[prost(uint64, tag = "1")]
     pub attempt: AttemptId,
 }
 
-/// Allows more events of one attempt, so that a slow stream does not stop the others.
+/// Allows more events of one attempt, so that a slow stream does not block the others.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Credit {
-    /// The attempt whose events are meant.
+    /// The attempt.
     #[prost(uint64, tag = "1")]
     pub attempt: AttemptId,
-    /// How many more events may be sent.
+    /// The number of additional events that may be sent.
     #[prost(uint32, tag = "2")]
     pub events: u32,
 }
 
-/// Goes on with the answer of a request that runs, or has run, at this agent's target.
+/// Continues the answer of a request that runs, or has run, at this agent's target.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Attach {
     /// The new attempt under which the events are sent.
@@ -113,18 +113,18 @@
     /// The request's id.
     #[prost(string, tag = "2")]
     pub request: String,
-    /// The caller; must be the one whose request it is.
+    /// The caller, which must be the one that sent the request.
     #[prost(string, tag = "3")]
     pub caller: String,
-    /// Tokens that the caller already has.
+    /// The number of tokens that the caller already has.
     #[prost(uint32, tag = "4")]
     pub from_token: u32,
-    /// How many events the agent may send before it needs more [`Credit`].
+    /// The number of events that the agent may send before it needs more [`Credit`].
     #[prost(uint32, tag = "5")]
     pub credit: u32,
 }
 
-/// Something that happened to an attempt.
+/// An event of an attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Event {
     /// The attempt.
@@ -133,15 +133,15 @@
     /// The target's load when the event was sent.
     #[prost(message, optional, tag = "2")]
     pub load: Option<Load>,
-    /// What happened.
+    /// The event.
     #[prost(oneof = "EventKind", tags = "3, 4, 5, 6, 7, 8")]
     pub kind: Option<EventKind>,
 }
 
-/// All kinds of events.
+/// The kinds of events.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum EventKind {
-    /// The held request could start now.
+    /// The queued request can start now.
     #[prost(message, tag = "3")]
     Offer(Offer),
     /// Generated text.
@@ -150,28 +150,28 @@
     /// Status and headers of a service's response.
     #[prost(message, tag = "5")]
     Head(Head),
-    /// A piece of a service's response body.
+    /// A part of a service's response body.
     #[prost(message, tag = "6")]
     Part(Part),
     /// The answer is complete.
     #[prost(message, tag = "7")]
     End(End),
-    /// The answer will not be completed by this attempt.
+    /// This attempt will not complete the answer.
     #[prost(message, tag = "8")]
     Refusal(Refusal),
 }
 
-/// Says that a held request has reached the head of the queue.
+/// Offers a request that has reached the head of the queue.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Offer {}
 
 /// Generated text.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Delta {
-    /// Tokens generated before this piece, counted from the request's beginning.
+    /// Tokens generated before this text, counted from the start of the request.
     #[prost(uint32, tag = "1")]
     pub from_token: u32,
-    /// Tokens in this piece.
+    /// Tokens in this text.
     #[prost(uint32, tag = "2")]
     pub tokens: u32,
     /// The text.
@@ -196,15 +196,15 @@
     /// The HTTP status.
     #[prost(uint32, tag = "1")]
     pub status: u32,
-    /// The headers that are passed on.
+    /// The forwarded headers.
     #[prost(message, repeated, tag = "2")]
     pub headers: Vec<Header>,
-    /// Whether this is the recorded answer of an earlier call with the same key.
+    /// Whether this is the recorded answer to an earlier call with the same idempotency key.
     #[prost(bool, tag = "3")]
     pub replayed: bool,
 }
 
-/// A piece of a service's response body.
+/// A part of a service's response body.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Part {
     /// The bytes.
@@ -212,16 +212,16 @@
     pub bytes: Bytes,
 }
 
-/// The end of a complete answer.
+/// The end of an answer that is complete.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct End {
-    /// Why generation ended.
+    /// Why the answer ended.
     #[prost(enumeration = "Finish", tag = "1")]
     pub finish: i32,
-    /// Length of the prompt, in tokens, as the engine counted it.
+    /// Length of the prompt, in tokens, as counted by the engine.
     #[prost(uint32, tag = "2")]
     pub prompt_tokens: u32,
-    /// Tokens generated, counted from the request's beginning.
+    /// Tokens generated, counted from the start of the request.
     #[prost(uint32, tag = "3")]
     pub output_tokens: u32,
     /// Prompt tokens found in the engine's prefix cache.
@@ -229,60 +229,60 @@
     pub cached_tokens: u32,
 }
 
-/// Why generation ended.
+/// Why the answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Finish {
-    /// The model ended its answer, or the service its response.
+    /// The model ended its output, or the service its response.
     Stop = 0,
-    /// The most tokens allowed were generated.
+    /// The token limit was reached.
     Length = 1,
 }
 
-/// How far an attempt had come when it was given up.
+/// How far an attempt had got when it was abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Progress {
-    /// Nothing reached the target, and nothing of this attempt will.
+    /// The target has not received the request, and will not receive it by this attempt.
     NotRun = 0,
-    /// It may have reached the target.
+    /// The target may have received the request.
     Unknown = 1,
-    /// It ran at the target, which gave no complete answer.
+    /// The request ran at the target, without a complete answer.
     Started = 2,
 }
 
-/// Says that an attempt is given up.
+/// Ends an attempt that is abandoned.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Refusal {
     /// A stable reason in kebab case; `docs/CALLERS.md` lists them all.
     #[prost(string, tag = "1")]
     pub reason: String,
-    /// How far the attempt had come.
+    /// How far the attempt had got.
     #[prost(enumeration = "Progress", tag = "2")]
     pub progress: i32,
-    /// After how many milliseconds another try is worth it; 0 if unknown.
+    /// The time after which a retry may succeed, in milliseconds; 0 if unknown.
     #[prost(uint64, tag = "3")]
     pub retry_after_ms: u64,
-    /// More for a person to read.
+    /// A text for people.
     #[prost(string, tag = "4")]
     pub detail: String,
 }
 
-/// Asks whether the peer is there, and tells it about the sender.
+/// A heartbeat, with the status of the sender.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Ping {
-    /// Sent back in the [`Pong`].
+    /// Returned in the [`Pong`].
     #[prost(uint64, tag = "1")]
     pub nonce: u64,
-    /// What the sender says of itself; absent if it takes no requests from callers.
+    /// The status of the sender; `None` if it accepts no requests from callers.
     #[prost(message, optional, tag = "2")]
     pub sender: Option<EntryStatus>,
-    /// Whether the answer should tell which entries the agent has heard from.
+    /// Whether the response should contain the entries that the agent has received pings from.
     #[prost(bool, tag = "3")]
     pub include_entries: bool,
 }
 
-/// Answers a ping.
+/// The response to a ping.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Pong {
     /// The ping's nonce.
@@ -291,13 +291,13 @@
     /// The agent's load.
     #[prost(message, optional, tag = "2")]
     pub load: Option<Load>,
-    /// The entries that the agent has heard from, if they were asked for.
+    /// The entries that the agent has received pings from, if requested.
     #[prost(message, repeated, tag = "3")]
     pub entries: Vec<EntryStatus>,
 }
 
-/// An entry as an agent last heard from it; carries membership and offered demand to the planner
-/// and to whoever asks whether a configuration is in force everywhere.
+/// The status that an agent last received from an entry. It carries membership and offered demand
+/// to the planner, and shows whether a configuration is in effect everywhere.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct EntryStatus {
     /// The entry's name.
@@ -309,16 +309,16 @@
     /// The offset up to which it has applied the config stream.
     #[prost(uint64, tag = "3")]
     pub config_offset: u64,
-    /// Prompt tokens a second that callers offer it, refused ones among them.
+    /// Prompt tokens per second that callers offer, including refused ones.
     #[prost(uint64, tag = "4")]
     pub prompt_rate: u64,
-    /// Output tokens a second that callers offer it, refused ones among them.
+    /// Output tokens per second that callers offer, including refused ones.
     #[prost(uint64, tag = "5")]
     pub output_rate: u64,
-    /// Milliseconds since the agent heard this.
+    /// Milliseconds since the agent received this.
     #[prost(uint64, tag = "6")]
     pub age_ms: u64,
-    /// The callers that use it most, so that limits hold over all entries.
+    /// The usage of the callers with most traffic, so that limits apply across all entries.
     #[prost(message, repeated, tag = "7")]
     pub usages: Vec<Usage>,
 }
@@ -329,47 +329,47 @@
     /// Hash of the caller's name.
     #[prost(fixed64, tag = "1")]
     pub caller: u64,
-    /// Tokens a second that it asks for there.
+    /// Tokens per second that it requests.
     #[prost(uint64, tag = "2")]
     pub rate: u64,
-    /// Its open requests there.
+    /// Its open requests.
     #[prost(uint32, tag = "3")]
     pub open: u32,
 }
 
-/// A question outside any attempt.
+/// A query that belongs to no attempt.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Query {
-    /// Sent back in the [`Reply`].
+    /// Returned in the [`Reply`].
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// What is asked.
+    /// The kind of the query.
     #[prost(enumeration = "QueryKind", tag = "2")]
     pub kind: i32,
-    /// The question's parameter, if the kind has one.
+    /// The parameter, if the kind has one.
     #[prost(bytes = "bytes", tag = "3")]
     pub body: Bytes,
 }
 
-/// All kinds of questions.
+/// The kinds of queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum QueryKind {
-    /// The folded state of the log, as an encoded checkpoint.
+    /// The folded state of the log, as encoded snapshots.
     Snapshot = 0,
-    /// What the peer knows of the request whose id is the body, as lines of text.
+    /// What the peer has recorded of the request whose id is the body, as lines of text.
     Explain = 1,
     /// The KV cache of the request whose id is the body.
     KvCache = 2,
 }
 
-/// The answer to a question.
+/// The reply to a query.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Reply {
-    /// The question's id.
+    /// The query's id.
     #[prost(uint64, tag = "1")]
     pub id: u64,
-    /// The answer; empty if there is none.
+    /// The content; empty if there is none.
     #[prost(bytes = "bytes", tag = "2")]
     pub body: Bytes,
 }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,8 +1,8 @@
-//! The handshake: protocol version, names, and proof that both sides know the shared key.
+//! The handshake: protocol version, names, and proof that both sides have the shared key.
 //!
-//! A peer port that is reachable by strangers would otherwise let them run requests past all
-//! limits, or read other callers' answers. Both sides send a random challenge and answer the
-//! other's with an HMAC over both challenges, so that a recorded proof is of no use later.
+//! Without it, anyone who can connect to a peer port could run requests that bypass all limits, or
+//! read the answers of other callers. Each side sends a random challenge and answers the other's
+//! with an HMAC over both challenges, so that a recorded proof cannot be replayed.
 
 use crate::frame::{Body, Frame};
 use crate::{Connection, Error, Result};
@@ -14,26 +14,27 @@
 /// The version of the protocol; both sides must agree on it.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// The shared key of all processes of one fleet; never logged.
+/// The shared key of all processes of a fleet; it is never logged.
 #[derive(Clone)]
 pub struct Key(Bytes);
 
 impl Key {
-    /// Wraps the secret from the settings.
+    /// Makes the key from the secret in the settings.
     pub fn new(secret: impl Into<Bytes>) -> Self {
         Self(secret.into())
     }
 
     fn proof(&self, role: &'static str, first: &[u8], second: &[u8]) -> Bytes {
         // HMAC accepts keys of any length, so this cannot fail.
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC takes any key length");
+        let mut mac =
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts keys of any length");
         mac.update(role.as_bytes());
         mac.update(first);
         mac.update(second);
         Bytes::copy_from_slice(&mac.finalize().into_bytes())
     }
 
-    fn check(&self, role: &'static str, first: &[u8], second: &[u8], proof: &[u8]) -> bool {
+    fn verify(&self, role: &'static str, first: &[u8], second: &[u8], proof: &[u8]) -> bool {
         use subtle::ConstantTimeEq;
         self.proof(role, first, second).ct_eq(proof).into()
     }
@@ -45,7 +46,7 @@
     }
 }
 
-/// The first frame of either side.
+/// The first frame of each side.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Hello {
     /// The sender's [`PROTOCOL_VERSION`].
@@ -54,18 +55,18 @@
     /// The sender's process name, unique in the fleet.
     #[prost(string, tag = "2")]
     pub name: String,
-    /// A random number that changes each time the process starts.
+    /// A random number that is different after each start of the process.
     #[prost(uint64, tag = "3")]
     pub incarnation: u64,
-    /// The sender's challenge, fresh for each connection.
+    /// The sender's challenge, different for each connection.
     #[prost(bytes = "bytes", tag = "4")]
     pub challenge: Bytes,
 }
 
-/// The answer to the other side's challenge.
+/// The response to the other side's challenge.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Proof {
-    /// HMAC-SHA-256 over the sender's side and both challenges.
+    /// HMAC-SHA-256 over the sender's role and both challenges.
     #[prost(bytes = "bytes", tag = "1")]
     pub mac: Bytes,
 }
@@ -74,31 +75,34 @@
 const LISTENER: &str = "listener";
 
 /// Performs the dialling side's handshake and returns the listener's [`Hello`].
-pub async fn connect(connection: &mut Connection, key: &Key, me: Hello) -> Result<Hello> {
-    connection.send(Frame::new(Body::Hello(me.clone()))).await?;
-    let them = expect_hello(connection).await?;
-    let mac = key.proof(DIALLER, &me.challenge, &them.challenge);
+pub async fn connect(connection: &mut Connection, key: &Key, ours: Hello) -> Result<Hello> {
+    connection.send(Frame::new(Body::Hello(ours.clone()))).await?;
+    let theirs = expect_hello(connection).await?;
+    let mac = key.proof(DIALLER, &ours.challenge, &theirs.challenge);
     connection.send(Frame::new(Body::Proof(Proof { mac }))).await?;
     let proof = expect_proof(connection).await?;
-    trust(connection, key.check(LISTENER, &me.challenge, &them.challenge, &proof.mac))?;
-    Ok(them)
+    require_valid(
+        connection,
+        key.verify(LISTENER, &ours.challenge, &theirs.challenge, &proof.mac),
+    )?;
+    Ok(theirs)
 }
 
 /// Performs the listening side's handshake and returns the dialler's [`Hello`].
-pub async fn accept(connection: &mut Connection, key: &Key, me: Hello) -> Result<Hello> {
-    let them = expect_hello(connection).await?;
-    connection.send(Frame::new(Body::Hello(me.clone()))).await?;
+pub async fn accept(connection: &mut Connection, key: &Key, ours: Hello) -> Result<Hello> {
+    let theirs = expect_hello(connection).await?;
+    connection.send(Frame::new(Body::Hello(ours.clone()))).await?;
     let proof = expect_proof(connection).await?;
-    trust(connection, key.check(DIALLER, &them.challenge, &me.challenge, &proof.mac))?;
-    let mac = key.proof(LISTENER, &them.challenge, &me.challenge);
+    require_valid(connection, key.verify(DIALLER, &theirs.challenge, &ours.challenge, &proof.mac))?;
+    let mac = key.proof(LISTENER, &theirs.challenge, &ours.challenge);
     connection.send(Frame::new(Body::Proof(Proof { mac }))).await?;
-    Ok(them)
+    Ok(theirs)
 }
 
 async fn expect_hello(connection: &mut Connection) -> Result<Hello> {
     let frame = connection.receive("handshake").await?;
     let Some(Body::Hello(hello)) = frame.body else {
-        return Err(unexpected(connection, "a hello was due"));
+        return Err(unexpected(connection, "expected a hello"));
     };
     if hello.version != PROTOCOL_VERSION {
         let peer = connection.peer().clone();
@@ -111,12 +115,12 @@
     let frame = connection.receive("handshake").await?;
     match frame.body {
         Some(Body::Proof(proof)) => Ok(proof),
-        _ => Err(unexpected(connection, "a proof was due")),
+        _ => Err(unexpected(connection, "expected a proof")),
     }
 }
 
-fn trust(connection: &Connection, known: bool) -> Result<()> {
-    if known { Ok(()) } else { Err(Error::Untrusted { peer: connection.peer().clone() }) }
+fn require_valid(connection: &Connection, valid: bool) -> Result<()> {
+    if valid { Ok(()) } else { Err(Error::Untrusted { peer: connection.peer().clone() }) }
 }
 
 fn unexpected(connection: &Connection, detail: &str) -> Error {
@@ -128,7 +132,7 @@
 }
 
 impl Hello {
-    /// Makes the greeting of the process `name`; `challenge` must be fresh random bytes.
+    /// Makes the hello of the process `name`; `challenge` must be new random bytes.
     pub fn new(name: &CompactString, incarnation: u64, challenge: [u8; 16]) -> Self {
         Self {
             version: PROTOCOL_VERSION,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,6 +1,6 @@
-//! The protocol between lapismast's own processes: typed messages, framing, handshake and links.
+//! The protocol between the processes of lapismast: typed messages, framing, handshake and links.
 //!
-//! An entry dials an agent, both prove that they know the shared key, and then exchange
+//! An entry connects to an agent. Both prove that they have the shared key and then exchange
 //! [`Frame`]s over one multiplexed connection. See `docs/DESIGN.md`, section "Entry to agent".
 
 mod codec;
@@ -28,8 +28,9 @@
 pub use load::Load;
 pub use request::{Call, Prompt, Request, Work};
 
-/// Identifies one attempt to run a request at one target; unique within an entry's lifetime.
+/// The id of an attempt, which is one send of a request to one target; unique within the lifetime
+/// of an entry.
 ///
-/// Late frames of an abandoned attempt carry an id that nobody waits for and are dropped.
+/// Late frames of an abandoned attempt are dropped, since no request waits for its id any more.
 pub type AttemptId = u64;
 pub use socket::listen;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,7 +1,7 @@
 //! Byte streams between processes, behind traits so that tests need no sockets.
 //!
-//! Real sockets under a paused clock are not deterministic: waiting on a socket lets the clock
-//! run ahead. [`MemoryNetwork`] links are, and they can be cut like a network.
+//! With a paused clock, real sockets are not deterministic, since the clock advances while a task
+//! waits for a socket. The links of a [`MemoryNetwork`] are, and they can be cut.
 
 use crate::{Error, Result};
 use async_trait::async_trait;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::mpsc;
 
-/// Anything that carries bytes both ways.
+/// A bidirectional byte stream.
 pub trait Bytestream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Bytestream for T {}
@@ -26,14 +26,14 @@
     async fn dial(&self, address: &str) -> Result<Pipe>;
 }
 
-/// Takes byte streams from peers.
+/// Accepts byte streams from peers.
 #[async_trait]
 pub trait Listener: Send {
-    /// Waits for the next peer; returns its stream and address.
+    /// Waits for the next connection; returns its stream and the peer's address.
     async fn accept(&mut self) -> Result<(Pipe, CompactString)>;
 }
 
-/// Dials TCP.
+/// Connects over TCP.
 #[derive(Debug, Default)]
 pub struct TcpDialler;
 
@@ -54,13 +54,13 @@
 }
 
 impl TcpListener {
-    /// Binds `address`, `host:port`; port 0 takes a free one.
+    /// Binds `address`, `host:port`; port 0 selects a free one.
     pub async fn bind(address: &str) -> Result<Self> {
         let io = |source| Error::Io { step: "listen", peer: address.to_compact_string(), source };
         Ok(Self { socket: crate::listen(address).await.map_err(io)? })
     }
 
-    /// The address really bound, `host:port`.
+    /// The bound address, `host:port`.
     pub fn address(&self) -> Result<CompactString> {
         let peer = CompactString::const_new("self");
         let address = self.socket.local_addr();
@@ -86,14 +86,14 @@
     }
 }
 
-/// How many bytes an in-memory link holds before its writer waits.
+/// The number of bytes that a link in memory buffers before its writer waits.
 const MEMORY_LINK_BYTES: usize = 256 * 1024;
 
-/// A network in memory: addresses are plain names, and pairs of them can be cut.
+/// A network in memory: addresses are arbitrary names, and links between them can be cut.
 #[derive(Clone, Default)]
 pub struct MemoryNetwork {
     inner: Arc<Mutex<Inner>>,
-    me: CompactString,
+    local: CompactString,
 }
 
 #[derive(Default)]
@@ -106,7 +106,7 @@
 struct Link {
     from: CompactString,
     to: CompactString,
-    pump: tokio::task::AbortHandle,
+    copy_task: tokio::task::AbortHandle,
 }
 
 /// Listens on a [`MemoryNetwork`].
@@ -115,28 +115,28 @@
 }
 
 impl MemoryNetwork {
-    /// The same network as seen from the process `name`, which matters for cuts.
+    /// The same network with `name` as the local process, to which cuts refer.
     pub fn at(&self, name: &str) -> Self {
-        Self { inner: self.inner.clone(), me: name.to_compact_string() }
+        Self { inner: self.inner.clone(), local: name.to_compact_string() }
     }
 
-    /// Listens at `address`; replaces an earlier listener there, as a restarted process does.
+    /// Listens on `address`; replaces an earlier listener, as a restarted process does.
     pub fn listen(&self, address: &str) -> MemoryListener {
         let (sender, incoming) = mpsc::unbounded_channel();
         self.lock().listeners.insert(address.to_compact_string(), sender);
         MemoryListener { incoming }
     }
 
-    /// Cuts all links from process `from` to address `to` and forbids new ones.
+    /// Cuts all links from process `from` to address `to` and refuses new ones.
     pub fn cut(&self, from: &str, to: &str) {
         let mut inner = self.lock();
         inner.cut.insert((from.to_compact_string(), to.to_compact_string()));
         inner.links.retain(|link| {
-            let hit = link.from == from && link.to == to;
-            if hit {
-                link.pump.abort();
+            let matches = link.from == from && link.to == to;
+            if matches {
+                link.copy_task.abort();
             }
-            !hit
+            !matches
         });
     }
 
@@ -153,27 +153,27 @@
 #[async_trait]
 impl Dialler for MemoryNetwork {
     async fn dial(&self, address: &str) -> Result<Pipe> {
-        let refused = |why: &str| Error::Io {
+        let refused = |reason: &str| Error::Io {
             step: "dial",
             peer: address.to_compact_string(),
-            source: std::io::Error::new(std::io::ErrorKind::ConnectionRefused, why.to_owned()),
+            source: std::io::Error::new(std::io::ErrorKind::ConnectionRefused, reason.to_owned()),
         };
         let mut inner = self.lock();
-        if inner.cut.contains(&(self.me.clone(), address.to_compact_string())) {
+        if inner.cut.contains(&(self.local.clone(), address.to_compact_string())) {
             return Err(refused("the link is cut"));
         }
-        let listener = inner.listeners.get(address).ok_or_else(|| refused("nobody listens"))?;
-        let (near, mut near_pump) = tokio::io::duplex(MEMORY_LINK_BYTES);
-        let (mut far_pump, far) = tokio::io::duplex(MEMORY_LINK_BYTES);
-        let peer = format_compact!("{}>{address}", self.me);
-        listener.send((Box::new(far), peer)).map_err(|_| refused("nobody listens"))?;
-        // The pump stands between the two ends so that a cut can close both at once.
-        let pump = tokio::spawn(async move {
-            let _ = tokio::io::copy_bidirectional(&mut near_pump, &mut far_pump).await;
+        let listener = inner.listeners.get(address).ok_or_else(|| refused("no process listens"))?;
+        let (near, mut near_inner) = tokio::io::duplex(MEMORY_LINK_BYTES);
+        let (mut far_inner, far) = tokio::io::duplex(MEMORY_LINK_BYTES);
+        let peer = format_compact!("{}>{address}", self.local);
+        listener.send((Box::new(far), peer)).map_err(|_| refused("no process listens"))?;
+        // The task copies between the two ends, so that a cut closes both at the same time.
+        let copy_task = tokio::spawn(async move {
+            let _ = tokio::io::copy_bidirectional(&mut near_inner, &mut far_inner).await;
         });
-        let (from, to) = (self.me.clone(), address.to_compact_string());
-        inner.links.retain(|link| !link.pump.is_finished());
-        inner.links.push(Link { from, to, pump: pump.abort_handle() });
+        let (from, to) = (self.local.clone(), address.to_compact_string());
+        inner.links.retain(|link| !link.copy_task.is_finished());
+        inner.links.push(Link { from, to, copy_task: copy_task.abort_handle() });
         Ok(Box::new(near))
     }
 }
--- a/crates/wire/src/request.rs
+++ b/crates/wire/src/request.rs
@@ -1,34 +1,34 @@
-//! A request as an entry hands it to an agent.
+//! A request as an entry submits it to an agent.
 
 use bytes::Bytes;
 
-/// One caller's request, complete and checked by the entry that took it.
+/// A caller's request, complete and validated by the entry that accepted it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Request {
-    /// The request's id, unique in the fleet and shown to the caller.
+    /// The request's id, unique in the fleet and returned to the caller.
     #[prost(string, tag = "1")]
     pub id: String,
-    /// The Caller resource's name; scopes idempotency keys and event ids.
+    /// The name of the Caller resource, to which idempotency keys and event ids are scoped.
     #[prost(string, tag = "2")]
     pub caller: String,
-    /// Milliseconds that the caller still waits, counted from the frame's arrival.
+    /// The remaining time until the deadline, in milliseconds from the arrival of the frame.
     #[prost(uint64, tag = "3")]
     pub deadline_ms: u64,
-    /// Whether the request goes before ordinary ones.
+    /// Whether the request has priority over others.
     #[prost(bool, tag = "4")]
     pub urgent: bool,
-    /// A hash of caller and content, the same each time the same content is sent.
+    /// A hash of caller and content, the same for each request with the same content.
     #[prost(uint64, tag = "5")]
     pub fingerprint: u64,
     /// The caller's W3C `traceparent`, or empty.
     #[prost(string, tag = "6")]
     pub traceparent: String,
-    /// What is to be done.
+    /// The work to do.
     #[prost(oneof = "Work", tags = "10, 11")]
     pub work: Option<Work>,
 }
 
-/// What a request asks of its target.
+/// The work that a request asks of its target.
 #[derive(Clone, PartialEq, prost::Oneof)]
 pub enum Work {
     /// Generation by a language-model engine.
@@ -39,7 +39,7 @@
     Call(Call),
 }
 
-/// A generation: always repeatable, since an engine keeps nothing of it.
+/// A generation, which can always be repeated, since the engine keeps no state of it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Prompt {
     /// The model's name.
@@ -51,35 +51,35 @@
     /// The adapter's name, or empty.
     #[prost(string, tag = "3")]
     pub adapter: String,
-    /// The prompt, with a chat already rendered to text.
+    /// The prompt; a chat is already rendered to text.
     #[prost(string, tag = "4")]
     pub text: String,
     /// Length of the prompt, in tokens, as estimated by the entry.
     #[prost(uint32, tag = "5")]
     pub prompt_tokens: u32,
-    /// The most tokens to generate, counted from the request's beginning, also when resumed.
+    /// The most tokens to generate, counted from the start of the request, also when resumed.
     #[prost(uint32, tag = "6")]
     pub max_tokens: u32,
-    /// Tokens to generate that the entry expects, for the work estimate.
+    /// Output tokens that the entry expects, for the estimate of the work.
     #[prost(uint32, tag = "7")]
     pub expected_tokens: u32,
-    /// Tokens that the caller already has, when a stream is resumed.
+    /// The number of tokens that the caller already has, if a stream is resumed.
     #[prost(uint32, tag = "8")]
     pub resume_tokens: u32,
-    /// The text of those tokens.
+    /// The text of these tokens.
     #[prost(string, tag = "9")]
     pub resume_text: String,
-    /// A hash of the prompt's beginning, for prefix caches.
+    /// A hash of the start of the prompt, for prefix caches.
     #[prost(uint64, tag = "10")]
     pub prefix: u64,
-    /// Sampling parameters as a JSON object, passed on to the engine as they came.
+    /// Sampling parameters as a JSON object, forwarded to the engine unchanged.
     #[prost(bytes = "bytes", tag = "11")]
     pub sampling: Bytes,
     /// Name of a target from which the KV cache can be imported, or empty.
     #[prost(string, tag = "12")]
     pub kv_source: String,
-    /// Whether only the prompt is to be read: the attempt ends after the first token, and the KV
-    /// cache is kept for the target that goes on.
+    /// Whether only the prefill is to run: the attempt ends after the first token, and the KV cache
+    /// is kept for the target that continues.
     #[prost(bool, tag = "13")]
     pub prefill_only: bool,
 }
@@ -96,13 +96,13 @@
     /// Path and query below the service's root, beginning with `/`.
     #[prost(string, tag = "3")]
     pub path: String,
-    /// Headers that are passed on.
+    /// The forwarded headers.
     #[prost(message, repeated, tag = "4")]
     pub headers: Vec<crate::Header>,
     /// The body.
     #[prost(bytes = "bytes", tag = "5")]
     pub body: Bytes,
-    /// Whether running the call twice does no harm.
+    /// Whether the call is idempotent, so that it may run twice.
     #[prost(bool, tag = "6")]
     pub repeatable: bool,
     /// The caller's idempotency key, or empty.
