--- a/crates/duty/src/backoff.rs
+++ b/crates/duty/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Waits before an order that failed is given again.
+//! Backoff between retries of a failed order.
 
 use conf::Name;
 use plat::Offset;
@@ -7,20 +7,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The wait after the first failure: a weight store that is merely busy answers by then.
-const FIRST: Duration = Duration::from_secs(5);
+/// The wait after the first failure, long enough for a weight store that is only busy to answer.
+const INITIAL_WAIT: Duration = Duration::from_secs(5);
 
-/// The longest wait: an operator who has mended the cause sees it taken up by then.
-const LONGEST: Duration = Duration::from_secs(120);
+/// The longest wait. After operators have fixed the cause, the order is retried within this time.
+const MAX_WAIT: Duration = Duration::from_secs(120);
 
-/// Targets that get no order for now.
+/// The targets that get no order for now.
 ///
-/// Without it a load that fails at once, such as of a missing artifact, is ordered each second:
-/// 86,400 records a day for each engine.
+/// Without backoff a load that fails immediately, such as of a missing artifact, would be ordered
+/// every second: 86,400 records per day for each engine.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     failed: HashMap<Name, Failure>,
-    doubtful: HashMap<Name, Instant>,
+    unsettled_until: HashMap<Name, Instant>,
 }
 
 #[derive(Debug)]
@@ -30,14 +30,15 @@
     until: Instant,
 }
 
-/// How long a target gets no order after one whose append could not be settled; it may appear.
-const DOUBT: Duration = Duration::from_secs(30);
+/// How long a target gets no order after an append that is unsettled, since that order may still
+/// appear.
+const UNSETTLED_WAIT: Duration = Duration::from_secs(30);
 
 impl Backoff {
-    /// Whether a target may get an order now, by the outcome of its last one.
+    /// Whether a target may get an order now, given the outcome of its last one.
     pub(crate) fn allows(&mut self, system: &System, target: &Name) -> bool {
         let now = Instant::now();
-        if self.doubtful.get(target).is_some_and(|until| now < *until) {
+        if self.unsettled_until.get(target).is_some_and(|until| now < *until) {
             return false;
         }
         let last = system.orders(target).last();
@@ -46,18 +47,18 @@
             self.failed.remove(target);
             return true;
         };
-        let known = self.failed.get(target);
-        if let Some(known) = known.filter(|known| known.order == order.offset) {
-            return now >= known.until;
+        let previous = self.failed.get(target);
+        if let Some(previous) = previous.filter(|previous| previous.order == order.offset) {
+            return now >= previous.until;
         }
-        let wait = known.map_or(FIRST, |known| (known.wait * 2).min(LONGEST));
+        let wait = previous.map_or(INITIAL_WAIT, |previous| (previous.wait * 2).min(MAX_WAIT));
         let failure = Failure { order: order.offset, wait, until: now + wait };
         self.failed.insert(target.clone(), failure);
         false
     }
 
-    /// Keeps orders from a target whose last one may still appear.
-    pub(crate) fn doubt(&mut self, target: &Name) {
-        self.doubtful.insert(target.clone(), Instant::now() + DOUBT);
+    /// Delays orders for a target whose last one is unsettled and may still appear.
+    pub(crate) fn delay_unsettled(&mut self, target: &Name) {
+        self.unsettled_until.insert(target.clone(), Instant::now() + UNSETTLED_WAIT);
     }
 }
--- a/crates/duty/src/decide.rs
+++ b/crates/duty/src/decide.rs
@@ -1,19 +1,19 @@
-//! Which engines change role under load: the border to crate `policy`.
+//! Which engines change role under load: the interface to crate `policy`.
 
 use conf::resource::Policy;
 use policy::Time;
 use policy::roles::{Change, Demand, Engine, Planner, Settings};
 
-/// Weighs changes of role.
+/// Chooses changes of role.
 pub trait Decide: Send {
-    /// Takes on the operators' weights and bounds.
+    /// Applies the weights and limits that operators set.
     fn set(&mut self, policy: &Policy);
 
-    /// The changes to order now, for the engines of a pool and what callers ask of them.
+    /// The changes to order now, given the engines of a pool and the demand of callers.
     fn decide(&mut self, engines: &[Engine], demand: Demand, now: Time) -> Vec<Change>;
 }
 
-/// Decides by [`policy::roles::RolePlanner`].
+/// Chooses changes with [`policy::roles::RolePlanner`].
 pub struct Roles(policy::roles::RolePlanner);
 
 impl Default for Roles {
--- a/crates/duty/src/dial.rs
+++ b/crates/duty/src/dial.rs
@@ -1,6 +1,6 @@
-//! Sees the pool by asking its agents over connections of the planner's own.
+//! Observes the pool by pinging its agents over the planner's own connections.
 
-use crate::fleet::{Agent, Fleet, Observation, STALE, Seen};
+use crate::fleet::{Agent, Fleet, LoadReport, MAX_REPORT_AGE, Observation};
 use async_trait::async_trait;
 use compact_str::CompactString;
 use conf::Name;
@@ -11,30 +11,30 @@
 use tokio::time::Instant;
 use wire::{Body, Connection, Dialler, EntryStatus, Frame, Hello, Key, Ping, Pong, Result};
 
-/// A fleet that is asked over the network: one task an agent, while they are observed.
+/// The agents of a pool over the network, with one task for each agent that is observed.
 pub struct NetworkFleet {
-    link: Arc<Link>,
+    settings: Arc<ConnectionSettings>,
     peers: Mutex<BTreeMap<Agent, Peer>>,
 }
 
-/// What a connection is made with.
-struct Link {
+/// The settings of the connections.
+struct ConnectionSettings {
     dialler: Arc<dyn Dialler>,
     key: Key,
     name: CompactString,
     incarnation: u64,
 }
 
-/// One agent, with its task and what it last said.
+/// An agent's task and its last response.
 struct Peer {
     task: AbortHandle,
-    last: Arc<Mutex<Option<Answer>>>,
+    last: Arc<Mutex<Option<Response>>>,
 }
 
-/// An agent's answer to a ping.
-struct Answer {
+/// An agent's response to a ping.
+struct Response {
     pong: Pong,
-    at: Instant,
+    received_at: Instant,
 }
 
 impl Drop for Peer {
@@ -44,37 +44,38 @@
 }
 
 /// The shortest time between two pings of an agent.
-const PING_LEAST: Duration = Duration::from_secs(1);
+const MIN_PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between pings for each agent of the pool: some 120 bytes a ping and its answer make 2.7 of the
-/// 7 KB a second that control may cost a node, whose own agent takes 4.1, however large the pool is.
-const PING_SHARE: Duration = Duration::from_millis(45);
+/// The time between pings of an agent, per agent of the pool. A ping and its response have some 120
+/// bytes, so that a pool of any size costs 2.7 of the 7 KB per second allowed for control traffic
+/// on a node, whose own agent uses 4.1.
+const PING_INTERVAL_PER_AGENT: Duration = Duration::from_millis(45);
 
-/// How many agents are asked which entries they know; together they know them all.
-const SIGHTING_AGENTS: usize = 3;
+/// The number of agents that report the status of entries; together they have that of all entries.
+const ENTRY_STATUS_AGENTS: usize = 3;
 
-/// How long a connection, or an answer, may take.
+/// The longest time for a connection or a response.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
 impl NetworkFleet {
-    /// Makes a fleet that is reached through `dialler` in a process's name.
+    /// Makes a fleet whose agents are reached through `dialler` by the process `name`.
     pub fn new(dialler: Arc<dyn Dialler>, key: Key, name: CompactString, incarnation: u64) -> Self {
-        let link = Arc::new(Link { dialler, key, name, incarnation });
-        Self { link, peers: Mutex::default() }
+        let settings = Arc::new(ConnectionSettings { dialler, key, name, incarnation });
+        Self { settings, peers: Mutex::default() }
     }
 
     fn peers(&self) -> MutexGuard<'_, BTreeMap<Agent, Peer>> {
         self.peers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn start(&self, agent: &Agent, place: usize, count: usize) -> Peer {
+    fn start(&self, agent: &Agent, index: usize, count: usize) -> Peer {
         let last = Arc::new(Mutex::new(None));
-        let share = PING_SHARE * u32::try_from(count).unwrap_or(u32::MAX);
+        let interval_for_pool = PING_INTERVAL_PER_AGENT * u32::try_from(count).unwrap_or(u32::MAX);
         let pinger = Pinger {
-            link: self.link.clone(),
+            settings: self.settings.clone(),
             address: agent.address.clone(),
-            every: share.max(PING_LEAST),
-            wants_sightings: place < SIGHTING_AGENTS,
+            interval: interval_for_pool.max(MIN_PING_INTERVAL),
+            include_entries: index < ENTRY_STATUS_AGENTS,
             last: last.clone(),
         };
         let task = tokio::spawn(pinger.run()).abort_handle();
@@ -87,41 +88,43 @@
     async fn observe(&self, agents: &[Agent]) -> Observation {
         let mut peers = self.peers();
         peers.retain(|agent, _| agents.contains(agent));
-        for (place, agent) in agents.iter().enumerate() {
+        for (index, agent) in agents.iter().enumerate() {
             if !peers.contains_key(agent) {
-                peers.insert(agent.clone(), self.start(agent, place, agents.len()));
+                peers.insert(agent.clone(), self.start(agent, index, agents.len()));
             }
         }
         let mut observation = Observation::default();
         for (agent, peer) in &*peers {
-            take(&mut observation, &agent.target, peer);
+            add_response(&mut observation, &agent.target, peer);
         }
         observation
     }
 }
 
-fn take(observation: &mut Observation, target: &Name, peer: &Peer) {
+fn add_response(observation: &mut Observation, target: &Name, peer: &Peer) {
     let last = peer.last.lock().unwrap_or_else(PoisonError::into_inner);
-    let Some(Answer { pong, at }) = &*last else { return };
+    let Some(Response { pong, received_at }) = &*last else { return };
     if let Some(load) = &pong.load {
-        observation.targets.insert(target.clone(), Seen { load: load.clone(), at: *at });
+        observation
+            .targets
+            .insert(target.clone(), LoadReport { load: load.clone(), received_at: *received_at });
     }
-    let since = u64::try_from(at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    for sighting in &pong.entries {
-        let age_ms = sighting.age_ms.saturating_add(since);
-        if Duration::from_millis(age_ms) <= STALE {
-            observation.sight(EntryStatus { age_ms, ..sighting.clone() });
+    let elapsed_ms = u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+    for status in &pong.entries {
+        let age_ms = status.age_ms.saturating_add(elapsed_ms);
+        if Duration::from_millis(age_ms) <= MAX_REPORT_AGE {
+            observation.record_entry(EntryStatus { age_ms, ..status.clone() });
         }
     }
 }
 
 /// The task of one agent.
 struct Pinger {
-    link: Arc<Link>,
+    settings: Arc<ConnectionSettings>,
     address: CompactString,
-    every: Duration,
-    wants_sightings: bool,
-    last: Arc<Mutex<Option<Answer>>>,
+    interval: Duration,
+    include_entries: bool,
+    last: Arc<Mutex<Option<Response>>>,
 }
 
 impl Pinger {
@@ -132,36 +135,36 @@
                 let peer = self.address.as_str();
                 log::debug!(peer, error:% = error; "planner-peer-lost");
             }
-            tokio::time::sleep(self.every).await;
+            tokio::time::sleep(self.interval).await;
         }
     }
 
     async fn session(&self) -> Result<()> {
-        let mut connection = self.timed(self.connect()).await?;
+        let mut connection = self.with_timeout(self.connect()).await?;
         loop {
-            let pong = self.timed(self.ping(&mut connection)).await?;
-            let answer = Answer { pong, at: Instant::now() };
-            *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Some(answer);
-            tokio::time::sleep(self.every).await;
+            let pong = self.with_timeout(self.ping(&mut connection)).await?;
+            let response = Response { pong, received_at: Instant::now() };
+            *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Some(response);
+            tokio::time::sleep(self.interval).await;
         }
     }
 
-    async fn timed<T>(&self, step: impl Future<Output = Result<T>>) -> Result<T> {
+    async fn with_timeout<T>(&self, step: impl Future<Output = Result<T>>) -> Result<T> {
         let closed = || wire::Error::Closed { step: "planner ping", peer: self.address.clone() };
         tokio::time::timeout(TIMEOUT, step).await.unwrap_or_else(|_| Err(closed()))
     }
 
     async fn connect(&self) -> Result<Connection> {
-        let pipe = self.link.dialler.dial(&self.address).await?;
+        let pipe = self.settings.dialler.dial(&self.address).await?;
         let mut connection = Connection::new(pipe, self.address.clone());
-        let hello = Hello::new(&self.link.name, self.link.incarnation, rand::random());
-        wire::connect(&mut connection, &self.link.key, hello).await?;
+        let hello = Hello::new(&self.settings.name, self.settings.incarnation, rand::random());
+        wire::connect(&mut connection, &self.settings.key, hello).await?;
         Ok(connection)
     }
 
     async fn ping(&self, connection: &mut Connection) -> Result<Pong> {
         let nonce = rand::random();
-        let ping = Ping { nonce, sender: None, include_entries: self.wants_sightings };
+        let ping = Ping { nonce, sender: None, include_entries: self.include_entries };
         connection.send(Frame::new(Body::Ping(ping))).await?;
         loop {
             let frame = connection.receive("planner ping").await?;
@@ -171,7 +174,7 @@
                     let pong = Pong { nonce: ping.nonce, ..Pong::default() };
                     connection.send(Frame::new(Body::Pong(pong))).await?;
                 }
-                // The planner has no attempts and asks nothing, so the rest is late or not for it.
+                // The planner has no attempts or queries, so other frames are late or unknown.
                 _ => {}
             }
         }
--- a/crates/duty/src/fleet.rs
+++ b/crates/duty/src/fleet.rs
@@ -1,4 +1,4 @@
-//! How a planner sees the agents of its pool and the entries.
+//! A planner's view of the agents of its pool and of the entries.
 
 use async_trait::async_trait;
 use compact_str::CompactString;
@@ -8,62 +8,67 @@
 use tokio::time::Instant;
 use wire::{EntryStatus, Load};
 
-/// An agent to be observed.
+/// An agent to observe.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Agent {
-    /// Its target.
+    /// The agent's target.
     pub target: Name,
-    /// Its address, `host:port`.
+    /// The agent's address, `host:port`.
     pub address: CompactString,
 }
 
-/// What was last seen of a target.
+/// The last load received from a target's agent.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Seen {
-    /// Its load.
+pub struct LoadReport {
+    /// The load.
     pub load: Load,
-    /// When it was received.
-    pub at: Instant,
+    /// When the load was received.
+    pub received_at: Instant,
 }
 
-/// What was last seen of the pool and of the entries.
+/// The last reports from the agents of the pool and from the entries.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Observation {
-    /// What each agent said of its target; those never reached are left out.
-    pub targets: BTreeMap<Name, Seen>,
-    /// The entries that agents have heard from, each by its newest sighting.
+    /// The last load of each target; targets whose agents have not answered yet are missing.
+    pub targets: BTreeMap<Name, LoadReport>,
+    /// The newest status of each entry that agents have received pings from.
     pub entries: BTreeMap<CompactString, EntryStatus>,
 }
 
-/// How old a load may be to be acted on: three rounds of pings of a pool of 350 agents.
-pub const STALE: Duration = Duration::from_secs(30);
+/// The highest age of a load that the planner relies on: three rounds of pings in a pool of 350
+/// agents.
+pub const MAX_REPORT_AGE: Duration = Duration::from_secs(30);
 
 impl Observation {
-    /// What a target's agent said lately.
+    /// The load of a target, unless it is too old.
     pub fn fresh(&self, target: &str) -> Option<&Load> {
-        let seen = self.targets.get(target).filter(|seen| seen.at.elapsed() <= STALE);
-        seen.map(|seen| &seen.load)
+        let report = self
+            .targets
+            .get(target)
+            .filter(|report| report.received_at.elapsed() <= MAX_REPORT_AGE);
+        report.map(|report| &report.load)
     }
 
-    /// Prompt and output tokens a second that callers offer at all entries together.
+    /// Prompt and output tokens per second that callers offer at all entries together.
     pub fn offered(&self) -> (u64, u64) {
-        self.entries.values().fold((0, 0), |(prompt, output), sighting| {
-            (prompt + sighting.prompt_rate, output + sighting.output_rate)
+        self.entries.values().fold((0, 0), |(prompt, output), status| {
+            (prompt + status.prompt_rate, output + status.output_rate)
         })
     }
 
-    /// Takes a sighting in, if it is the newest of its entry.
-    pub fn sight(&mut self, sighting: EntryStatus) {
-        let known = self.entries.get(sighting.entry.as_str());
-        if known.is_none_or(|known| sighting.age_ms <= known.age_ms) {
-            self.entries.insert(sighting.entry.as_str().into(), sighting);
+    /// Records the status of an entry, if it is the newest one.
+    pub fn record_entry(&mut self, status: EntryStatus) {
+        let current = self.entries.get(status.entry.as_str());
+        if current.is_none_or(|current| status.age_ms <= current.age_ms) {
+            self.entries.insert(status.entry.as_str().into(), status);
         }
     }
 }
 
-/// The agents of a pool, as a planner reaches them.
+/// The connections of a planner to the agents of its pool.
 #[async_trait]
 pub trait Fleet: Send + Sync {
-    /// Keeps to these agents, and returns what was last seen of them; none ends all connections.
+    /// Observes exactly these agents and returns their last reports; an empty list closes all
+    /// connections.
     async fn observe(&self, agents: &[Agent]) -> Observation;
 }
--- a/crates/duty/src/lib.rs
+++ b/crates/duty/src/lib.rs
@@ -1,14 +1,14 @@
-//! The planner's duty: turns desired resources and observed demand into orders.
+//! The planner of a pool: derives orders from the desired resources and the observed demand.
 //!
-//! Any agent or entry may have it for a pool of targets, by a lease in the log; no VM is set
-//! aside for it. While it is held, the planner looks at the pool, has [`Decide`] weigh changes of
-//! role, compares what operators want with what engines report, appends at most one order for
-//! each target, and writes checkpoints.
+//! Any agent or entry can plan for a pool of targets, by a lease in the log; no VM is dedicated to
+//! it. While the planner holds the lease it observes the pool, lets [`Decide`] choose changes of
+//! role, compares the desired state with what engines report, appends at most one order for each
+//! target, and writes checkpoints.
 //!
-//! - [`Planner`]: the loop.
-//! - [`reconcile`]: which order each engine needs next; pure.
+//! - [`Planner`]: the control loop.
+//! - [`reconcile`]: the next order that each engine needs; pure.
 //! - [`Decide`]: which engines change role under load.
-//! - [`Fleet`]: how a planner sees the pool; [`NetworkFleet`] asks the agents.
+//! - [`Fleet`]: the planner's view of the pool; [`NetworkFleet`] pings the agents.
 
 mod backoff;
 mod decide;
@@ -20,5 +20,5 @@
 
 pub use decide::{Decide, Roles};
 pub use dial::NetworkFleet;
-pub use fleet::{Agent, Fleet, Observation, Seen};
+pub use fleet::{Agent, Fleet, LoadReport, Observation};
 pub use planner::{Context, Followed, Planner, scope};
--- a/crates/duty/src/planner.rs
+++ b/crates/duty/src/planner.rs
@@ -1,10 +1,10 @@
-//! The planner's loop for one pool.
+//! The planner's control loop for one pool.
 
 use crate::backoff::Backoff;
 use crate::decide::Decide;
 use crate::fleet::{Agent, Fleet, Observation};
 use crate::reconcile::View;
-use crate::roles::{Tenure, demand};
+use crate::roles::{RoleTimes, demand};
 use compact_str::{CompactString, format_compact};
 use conf::Name;
 use plat::SYSTEM_STREAM;
@@ -19,52 +19,52 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// A stream that the process follows.
+/// The state and health of a stream that the process follows.
 #[derive(Clone)]
 pub struct Followed<F> {
     /// The folded state.
     pub state: watch::Receiver<Arc<F>>,
-    /// How well it follows.
+    /// The follower's health.
     pub health: watch::Receiver<Health>,
 }
 
-/// What a planner sees of the world.
+/// The inputs of a planner.
 pub struct Context {
-    /// The pool whose planner it may become.
+    /// The pool to plan for.
     pub pool: CompactString,
     /// The process's incarnation.
     pub incarnation: u64,
-    /// How long it leaves a silent pool to others first; zero for the few that are to plan.
+    /// The additional wait before it claims the pool; zero for the few preferred processes.
     pub fallback_delay: Duration,
-    /// Appends in the process's name.
+    /// Appends records in the process's name.
     pub appender: Appender,
     /// The `config` stream.
     pub config: Followed<Config>,
     /// The `system` stream.
     pub system: Followed<System>,
-    /// The agents.
+    /// The agents of the pool.
     pub fleet: Arc<dyn Fleet>,
-    /// What weighs changes of role.
+    /// Chooses changes of role.
     pub decide: Box<dyn Decide>,
 }
 
-/// One process's readiness to plan for a pool.
+/// A process that plans for a pool once it has claimed it.
 pub struct Planner {
     context: Context,
-    tenure: Tenure,
+    role_times: RoleTimes,
     backoff: Backoff,
     started: Instant,
 }
 
-/// How often the planner looks at its pool; changes of role and loads take seconds.
-const TICK: Duration = Duration::from_secs(1);
+/// The interval at which the planner observes its pool; changes of role and loads take seconds.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long to wait until an order that was appended is read back.
+/// The longest wait until an appended order is read back.
 const READ_BACK: Duration = Duration::from_secs(2);
 
-/// How old the view of the resources may be: a planner that missed a change would order what
-/// operators have just withdrawn.
-const FRESH: Duration = Duration::from_secs(10);
+/// The highest age of the resources: a planner that has missed a change would order what operators
+/// have just withdrawn.
+const MAX_CONFIG_AGE: Duration = Duration::from_secs(10);
 
 /// The scope of a pool's planner.
 pub fn scope(pool: &str) -> CompactString {
@@ -72,13 +72,13 @@
 }
 
 impl Planner {
-    /// Makes a planner that holds nothing yet.
+    /// Makes a planner that has not claimed its pool yet.
     pub fn new(context: Context) -> Self {
-        let (tenure, backoff) = (Tenure::default(), Backoff::default());
-        Self { context, tenure, backoff, started: Instant::now() }
+        let (role_times, backoff) = (RoleTimes::default(), Backoff::default());
+        Self { context, role_times, backoff, started: Instant::now() }
     }
 
-    /// Claims the pool when nobody plans for it, and plans while it holds it, until `stop`.
+    /// Claims the pool when no other process holds it, and plans while it holds it, until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
         let Context { pool, incarnation, fallback_delay, appender, system, .. } = &self.context;
         let settings = LeaseSettings::new(SYSTEM_STREAM.into(), scope(pool), *incarnation);
@@ -115,25 +115,25 @@
                 log::info!(pool = self.context.pool.as_str(); "planner-started");
             }
             self.tick(&held).await;
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
         }
     }
 
-    /// Looks at the pool once and gives the orders that it needs.
+    /// Observes the pool once and appends the orders that it needs.
     async fn tick(&mut self, held: &watch::Receiver<Option<Held>>) {
         let config = self.context.config.state.borrow().clone();
         let system = self.context.system.state.borrow().clone();
         let agents = agents(&config, &self.context.pool);
-        let seen = self.context.fleet.observe(&agents).await;
-        if !self.context.config.health.borrow().is_fresh(FRESH) {
+        let observed = self.context.fleet.observe(&agents).await;
+        if !self.context.config.health.borrow().is_fresh(MAX_CONFIG_AGE) {
             return;
         }
-        for (target, kind) in self.orders(&config, &system, &seen) {
-            let now = *held.borrow();
-            // Checked before each append; what lies between check and append is void in the log
-            // if somebody claimed meanwhile.
-            let Some(claim) = now.filter(Held::is_valid).map(|held| held.claim) else { return };
-            self.order(claim, target, kind).await;
+        for (target, kind) in self.orders(&config, &system, &observed) {
+            let current = *held.borrow();
+            // Checked before each append. If another process claims the pool between check and
+            // append, the order is void in the log.
+            let Some(claim) = current.filter(Held::is_valid).map(|held| held.claim) else { return };
+            self.append_order(claim, target, kind).await;
         }
     }
 
@@ -141,13 +141,13 @@
         &mut self,
         config: &Config,
         system: &System,
-        seen: &Observation,
+        observed: &Observation,
     ) -> Vec<(Name, OrderKind)> {
         let pool = self.context.pool.as_str();
-        let view = View { config, system, seen, pool };
+        let view = View { config, system, observed, pool };
         let mut orders = view.orders();
         let now = self.started.elapsed();
-        let engines = self.tenure.engines(&view, now);
+        let engines = self.role_times.engines(&view, now);
         self.context.decide.set(&view.policy());
         for change in self.context.decide.decide(&engines, demand(&view), now) {
             if !orders.iter().any(|(target, _)| *target == change.target) {
@@ -158,8 +158,8 @@
         orders
     }
 
-    /// Appends an order and waits until it is read back, so that the next look counts it as open.
-    async fn order(&mut self, claim: plat::Offset, target: Name, kind: OrderKind) {
+    /// Appends an order and waits until it is read back, so that the next tick counts it as open.
+    async fn append_order(&mut self, claim: plat::Offset, target: Name, kind: OrderKind) {
         let scope = scope(&self.context.pool).to_string();
         let order = Order { scope, claim, target: target.to_string(), kind: Some(kind) };
         match self.context.appender.append(SYSTEM_STREAM, Body::Order(order)).await {
@@ -168,12 +168,12 @@
                 let mut state = self.context.system.state.clone();
                 let read = state.wait_for(|system| system.end() > appended.offset);
                 if tokio::time::timeout(READ_BACK, read).await.is_err() {
-                    self.backoff.doubt(&target);
+                    self.backoff.delay_unsettled(&target);
                 }
             }
             Err(error) => {
                 if matches!(error, Error::Unsettled { .. }) {
-                    self.backoff.doubt(&target);
+                    self.backoff.delay_unsettled(&target);
                 }
                 log::warn!(engine = target.as_str(), error:% = error; "order-failed");
             }
--- a/crates/duty/src/roles.rs
+++ b/crates/duty/src/roles.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool as decisions on roles see them.
+//! The engines of a pool as input for decisions on roles.
 
 use crate::reconcile::View;
 use conf::Name;
@@ -8,17 +8,17 @@
 use policy::roles::{Demand, Engine};
 use std::collections::HashMap;
 
-/// Remembers since when each engine has its role.
+/// Records since when each engine has its role.
 ///
-/// A planner that takes over does not know it and counts from what it sees first: it then waits
-/// the minimum time in a role once more, which changes nothing that is wrong.
+/// A planner that takes over does not have these times and counts from its first observation. So it
+/// waits for the minimum time in a role again, which is harmless.
 #[derive(Debug, Default)]
-pub(crate) struct Tenure {
+pub(crate) struct RoleTimes {
     since: HashMap<Name, (Role, Time)>,
 }
 
-impl Tenure {
-    /// The engines of the pool, as they are now.
+impl RoleTimes {
+    /// The current engines of the pool.
     pub(crate) fn engines(&mut self, view: &View<'_>, now: Time) -> Vec<Engine> {
         let policy = view.policy();
         let engines = view.engines().map(|(name, target)| {
@@ -36,7 +36,7 @@
         pinned: bool,
         now: Time,
     ) -> Engine {
-        let load = view.seen.fresh(name);
+        let load = view.observed.fresh(name);
         let role = load.map_or(Role::Mixed, |load| role(&load.role));
         let since = self.since.entry(name.clone()).or_insert((role, now));
         if since.0 != role {
@@ -55,18 +55,18 @@
     }
 }
 
-/// What callers ask for, in tokens a second.
+/// The demand of callers, in tokens per second.
 pub(crate) fn demand(view: &View<'_>) -> Demand {
-    let (prompt, output) = view.seen.offered();
-    Demand { prompt: float(prompt), output: float(output) }
+    let (prompt, output) = view.observed.offered();
+    Demand { prompt: to_f64(prompt), output: to_f64(output) }
 }
 
 fn rates(load: &wire::Load) -> Rates {
-    let usual = Rates::default();
-    let measured = |rate: u32, usual| if rate == 0 { usual } else { f64::from(rate) };
+    let defaults = Rates::default();
+    let rate_or_default = |rate: u32, default| if rate == 0 { default } else { f64::from(rate) };
     Rates {
-        prefill: measured(load.prefill_rate, usual.prefill),
-        decode: measured(load.decode_rate, usual.decode),
+        prefill: rate_or_default(load.prefill_rate, defaults.prefill),
+        decode: rate_or_default(load.decode_rate, defaults.decode),
     }
 }
 
@@ -75,7 +75,7 @@
     roles.into_iter().find(|role| role.name() == name).unwrap_or_default()
 }
 
-/// A rate as a number to reckon with; beyond 4 billion tokens a second it is cut off.
-fn float(rate: u64) -> f64 {
+/// Converts a rate to `f64`; rates above 4 billion tokens per second are clamped.
+fn to_f64(rate: u64) -> f64 {
     f64::from(u32::try_from(rate).unwrap_or(u32::MAX))
 }
--- a/crates/duty/tests/planner.rs
+++ b/crates/duty/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner over a log in memory and engines that carry out what they are told.
+//! The planner with a log in memory and engines that execute its orders.
 
 #[path = "../../state/tests/common/mod.rs"]
 mod common;
@@ -7,7 +7,7 @@
 use common::{Open, Process};
 use conf::{Kind, Name};
 use duty::reconcile::View;
-use duty::{Agent, Context, Fleet, Followed, Observation, Planner, Roles, Seen, scope};
+use duty::{Agent, Context, Fleet, Followed, LoadReport, Observation, Planner, Roles, scope};
 use fake::MemoryLog;
 use plat::{CONFIG_STREAM, SYSTEM_STREAM};
 use serde_json::{Value, json};
@@ -21,7 +21,7 @@
 
 const POOL: &str = "main";
 
-/// Engines in memory, as their agents report them.
+/// Engines in memory, with the loads that their agents report.
 #[derive(Clone, Default)]
 struct Engines(Arc<Mutex<BTreeMap<Name, wire::Load>>>);
 
@@ -37,9 +37,9 @@
         self.0.lock().expect("no test panicked")[name].clone()
     }
 
-    fn obey(&self, name: &str, kind: &OrderKind) {
+    fn execute(&self, name: &str, kind: &OrderKind) {
         let mut engines = self.0.lock().expect("no test panicked");
-        let engine = engines.get_mut(name).expect("it is there");
+        let engine = engines.get_mut(name).expect("the engine exists");
         match kind {
             OrderKind::SetRole(role) => engine.role = role.clone(),
             OrderKind::Load(load) => engine.serves.push(load.serve.clone()),
@@ -52,15 +52,15 @@
 impl Fleet for Engines {
     async fn observe(&self, agents: &[Agent]) -> Observation {
         let engines = self.0.lock().expect("no test panicked");
-        let seen = agents.iter().filter_map(|agent| {
+        let observed = agents.iter().filter_map(|agent| {
             let load = engines.get(&agent.target)?.clone();
-            Some((agent.target.clone(), Seen { load, at: Instant::now() }))
+            Some((agent.target.clone(), LoadReport { load, received_at: Instant::now() }))
         });
-        Observation { targets: seen.collect(), ..Observation::default() }
+        Observation { targets: observed.collect(), ..Observation::default() }
     }
 }
 
-/// A process that stands ready to plan.
+/// A process that plans for the pool once it holds the lease.
 struct Standby {
     system: Process<System>,
     config: Process<Config>,
@@ -70,10 +70,10 @@
 
 impl Standby {
     fn start(log: &MemoryLog, name: &str, incarnation: u64, engines: &Engines) -> Self {
-        Self::start_patient(log, name, incarnation, engines, Duration::ZERO)
+        Self::start_fallback(log, name, incarnation, engines, Duration::ZERO)
     }
 
-    fn start_patient(
+    fn start_fallback(
         log: &MemoryLog,
         name: &str,
         incarnation: u64,
@@ -107,7 +107,7 @@
         system.holder(&scope(POOL)).map(|holder| holder.process.to_string())
     }
 
-    async fn planned_by(&mut self, name: &str) {
+    async fn wait_for_planner(&mut self, name: &str) {
         let held =
             |system: &Arc<System>| system.holder(&scope(POOL)).is_some_and(|h| h.process == name);
         self.system.state.wait_for(held).await.expect("it runs");
@@ -133,8 +133,8 @@
     }
 }
 
-/// Carries out open orders of all engines, as their agents do; `fail` fails them instead.
-async fn obey(log: MemoryLog, engines: Engines, fail: bool) {
+/// Executes the open orders of all engines as their agents do; with `fail` they fail instead.
+async fn execute(log: MemoryLog, engines: Engines, fail: bool) {
     let mut agents = Process::<System>::start(&log, "agents", SYSTEM_STREAM);
     loop {
         let system = agents.state.borrow_and_update().clone();
@@ -144,7 +144,7 @@
                 tokio::time::sleep(Duration::from_secs(1)).await;
                 let failure = if fail { "no such artifact".to_owned() } else { String::new() };
                 if !fail {
-                    engines.obey(&name, &order.kind);
+                    engines.execute(&name, &order.kind);
                 }
                 let target = name.to_string();
                 let outcome = OrderOutcome { order: order.offset, target, failure };
@@ -157,21 +157,22 @@
     }
 }
 
-/// All orders ever given and whether they counted, in words.
+/// All orders in the audit trail as text, with whether they are valid.
 fn orders(standby: &Standby) -> Vec<String> {
     let system = standby.system.state.borrow();
     let orders = system.audit().filter(|act| act.what.starts_with("order"));
     orders.map(|act| format!("{} {}: {}", act.valid, act.subject, act.what)).collect()
 }
 
-// Operators want an adapter everywhere, then a new version of the model, then a role. Nobody
-// tells the engines; an old version that went before all serve the new one would refuse callers.
+// Operators publish an adapter for all engines, then a new version of the model, then a role. The
+// planner has to bring all engines there. If an old version were unloaded before all engines serve
+// the new one, callers would be refused.
 #[tokio::test(start_paused = true)]
-async fn engines_are_brought_to_what_operators_want() {
+async fn engines_reach_the_desired_state() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     publish_fleet(&log, &engines, 2).await;
     let standby = Standby::start(&log, "a", 1, &engines);
-    let agents = tokio::spawn(obey(log.clone(), engines.clone(), false));
+    let agents = tokio::spawn(execute(log.clone(), engines.clone(), false));
     tokio::time::sleep(Duration::from_secs(30)).await;
     publish(&log, Kind::Version, "v2", json!({"model": "m", "artifact": "m-2"})).await;
     publish(&log, Kind::Model, "m", json!({"version": "v2"})).await;
@@ -185,25 +186,26 @@
     agents.abort();
 }
 
-// The planner's process is paused in the middle of its work and another takes over. When it wakes
-// up it still means to give orders; were they to count, engines would get those of two planners.
+// The planner's process is paused while it appends an order, and another process takes over. When
+// the first one resumes, its order reaches the log. If that were valid, engines would get the
+// orders of two planners.
 #[tokio::test(start_paused = true)]
-async fn a_paused_planner_is_succeeded_and_its_late_orders_are_void() {
+async fn late_orders_of_a_paused_planner_are_void() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     log.set_delay(Duration::from_millis(300));
     publish_fleet(&log, &engines, 1).await;
     engines.add("engine-1", &["m", "m+x"]);
     let mut a = Standby::start(&log, "a", 1, &engines);
-    a.planned_by("a").await;
+    a.wait_for_planner("a").await;
     let mut b = Standby::start(&log, "b", 2, &engines);
     tokio::time::sleep(Duration::from_secs(10)).await;
-    // Now there is something to order, and the planner hangs in that append.
+    // Now an order is needed, and the planner blocks in its append.
     engines.add("engine-1", &["m"]);
     a.system.gate.set(Open::Held);
-    let paused = Instant::now();
-    b.planned_by("b").await;
-    let took = paused.elapsed();
-    assert!(took < Duration::from_secs(10), "the takeover took {took:?}");
+    let paused_at = Instant::now();
+    b.wait_for_planner("b").await;
+    let takeover_time = paused_at.elapsed();
+    assert!(takeover_time < Duration::from_secs(10), "the takeover took {takeover_time:?}");
     tokio::time::sleep(Duration::from_secs(5)).await;
     a.set(Open::All);
     tokio::time::sleep(Duration::from_secs(10)).await;
@@ -212,58 +214,59 @@
     assert_eq!(b.planner().as_deref(), Some("b"));
 }
 
-// Two faults together: the reply to an order is lost while the planner dies, and its successor
-// plans the same. The engine must not be told to load the same weights twice.
+// Two faults at the same time: the reply to an order is lost while the planner is killed, and its
+// successor plans the same. The engine must not get two orders to load the same weights.
 #[tokio::test(start_paused = true)]
-async fn an_order_whose_reply_was_lost_in_a_takeover_is_not_given_again() {
+async fn order_with_a_lost_reply_is_not_repeated_after_a_takeover() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     publish_fleet(&log, &engines, 1).await;
     engines.add("engine-1", &["m", "m+x"]);
     let mut a = Standby::start(&log, "a", 1, &engines);
-    a.planned_by("a").await;
+    a.wait_for_planner("a").await;
     let mut b = Standby::start(&log, "b", 2, &engines);
     tokio::time::sleep(Duration::from_secs(5)).await;
     engines.add("engine-1", &["m"]);
     log.lose_replies(2);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     a.task.abort();
-    b.planned_by("b").await;
+    b.wait_for_planner("b").await;
     tokio::time::sleep(Duration::from_secs(20)).await;
     assert_eq!(orders(&b), ["true engine-1: order: load m+x from x-1"]);
 }
 
-// The weight store lacks an artifact, so each load of it fails at once. Ordered anew at each look
-// it would fill the log.
+// An artifact is missing in the weight store, so each load of it fails immediately. Without backoff
+// an order at each tick would fill the log.
 #[tokio::test(start_paused = true)]
-async fn an_order_that_fails_is_given_less_and_less_often() {
+async fn failed_order_is_retried_with_backoff() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     publish_fleet(&log, &engines, 1).await;
     let standby = Standby::start(&log, "a", 1, &engines);
-    let agents = tokio::spawn(obey(log.clone(), engines.clone(), true));
+    let agents = tokio::spawn(execute(log.clone(), engines.clone(), true));
     tokio::time::sleep(Duration::from_secs(600)).await;
     let given = orders(&standby).len();
     assert!((5..=12).contains(&given), "{given} orders in ten minutes");
     agents.abort();
 }
 
-// A graceful stop of the planner's process gives the pool up, so that no engine waits for a lease.
+// A planner that shuts down gracefully releases the pool, so that its successor need not wait for
+// the lease to expire.
 #[tokio::test(start_paused = true)]
-async fn a_planner_that_stops_gives_the_pool_up() {
+async fn stopped_planner_releases_the_pool() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     let mut a = Standby::start(&log, "a", 1, &engines);
-    a.planned_by("a").await;
+    a.wait_for_planner("a").await;
     let mut b = Standby::start(&log, "b", 2, &engines);
     tokio::time::sleep(Duration::from_secs(3)).await;
     a.stop.cancel();
-    let stopped = Instant::now();
-    b.planned_by("b").await;
-    assert!(stopped.elapsed() < Duration::from_secs(2));
+    let stopped_at = Instant::now();
+    b.wait_for_planner("b").await;
+    assert!(stopped_at.elapsed() < Duration::from_secs(2));
 }
 
-// One engine has the new version before the other. Entries still route some callers by the old
-// one; if it went from the first engine now, they would be left with one engine for all of them.
+// One engine serves the new version before the other. Entries still route some callers to the old
+// one; if the first engine unloaded it now, a single engine would have to serve all of them.
 #[tokio::test(start_paused = true)]
-async fn an_old_version_goes_only_once_all_engines_serve_the_new_one() {
+async fn old_version_is_unloaded_once_all_engines_serve_the_new_one() {
     let (log, engines) = (MemoryLog::new(), Engines::default());
     publish_fleet(&log, &engines, 2).await;
     publish(&log, Kind::Version, "v2", json!({"model": "m", "artifact": "m-2"})).await;
@@ -275,8 +278,8 @@
         engines.add("engine-2", second);
         let agents = ["engine-1", "engine-2"]
             .map(|name| Agent { target: name.into(), address: name.into() });
-        let (seen, system) = (engines.observe(&agents).await, System::default());
-        View { config: &config, system: &system, seen: &seen, pool: POOL }.orders()
+        let (observed, system) = (engines.observe(&agents).await, System::default());
+        View { config: &config, system: &system, observed: &observed, pool: POOL }.orders()
     };
     let new = ["m", "m@v1", "m@v2", "m@v2+x"];
     let load = Load { serve: "m@v2+x".into(), artifact: "x-1".into() };
@@ -286,21 +289,21 @@
     assert_eq!(next(&new, &new).await, [unload("engine-1"), unload("engine-2")]);
 }
 
-// All processes that are to plan for a pool are in one failure domain, and it fails. The rest only
-// stand in reserve: the pool must not stay without a planner, nor may they come before the others.
+// All preferred planners of a pool are in one failure domain, which fails. The other processes are
+// only a fallback: one of them has to take over, but not before the preferred ones.
 #[tokio::test(start_paused = true)]
-async fn a_reserve_plans_only_when_nobody_else_does() {
-    const PATIENCE: Duration = Duration::from_secs(30);
+async fn fallback_plans_only_when_no_preferred_process_does() {
+    const FALLBACK_DELAY: Duration = Duration::from_secs(30);
     let (log, engines) = (MemoryLog::new(), Engines::default());
-    let mut reserve = Standby::start_patient(&log, "r", 3, &engines, PATIENCE);
+    let mut fallback = Standby::start_fallback(&log, "r", 3, &engines, FALLBACK_DELAY);
     let mut a = Standby::start(&log, "a", 1, &engines);
-    a.planned_by("a").await;
+    a.wait_for_planner("a").await;
     let mut b = Standby::start(&log, "b", 2, &engines);
     tokio::time::sleep(Duration::from_secs(5)).await;
     a.task.abort();
-    b.planned_by("b").await;
+    b.wait_for_planner("b").await;
     b.task.abort();
-    let failed = Instant::now();
-    reserve.planned_by("r").await;
-    assert!(failed.elapsed() > PATIENCE && failed.elapsed() < Duration::from_secs(70));
+    let failed_at = Instant::now();
+    fallback.wait_for_planner("r").await;
+    assert!(failed_at.elapsed() > FALLBACK_DELAY && failed_at.elapsed() < Duration::from_secs(70));
 }
