--- a/crates/plat/tests/epoch.rs
+++ b/crates/plat/tests/epoch.rs
@@ -1,4 +1,4 @@
-//! Positions in a log that comes back from older copies of itself, on a model.
+//! Offsets in a log that is restored from older copies, on a model of its readers.
 
 use plat::epoch::{self, Epoch, LAST};
 use rand::{RngExt, SeedableRng};
@@ -6,8 +6,8 @@
 use std::fmt::Write;
 
 #[test]
-fn positions_of_later_epochs_are_larger() {
-    let offset = |epoch, place| epoch::offset(epoch, place).expect("both are small");
+fn offsets_of_later_epochs_are_larger() {
+    let offset = |epoch, index| epoch::offset(epoch, index).expect("both are small");
     assert_eq!((offset(0, 7), offset(0, 0)), (7, 0));
     assert!(offset(3, 0) > offset(2, 1_000_000_000));
     let last = offset(LAST, (1 << 40) - 1);
@@ -18,18 +18,18 @@
     assert_eq!((epoch::offset(LAST + 1, 0), epoch::offset(0, 1 << 40)), (None, None));
 }
 
-/// How readers know where they are in the log.
+/// How readers keep their position in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    /// By the place, and trust that a place beyond the end is told.
+enum Strategy {
+    /// By index; an index beyond the end shows that the log was restored.
     Places,
-    /// By the place, and whoever knows more than the log writes it back.
+    /// By index; a reader with a newer version than the log writes it back.
     WriteBack,
-    /// By epoch and place, and all is read anew in a new epoch.
+    /// By epoch and index; in a new epoch all records are read again.
     Epochs,
 }
 
-/// A log that holds versions, and what happens to it.
+/// A log of versions that can be restored from an older copy.
 #[derive(Debug, Default)]
 struct Log {
     epoch: Epoch,
@@ -45,9 +45,9 @@
 }
 
 impl Reader {
-    /// Reads what is new, and takes what counts: versions never go back.
-    fn read(&mut self, log: &mut Log, way: Way) {
-        let is_new = way == Way::Epochs && self.epoch != log.epoch;
+    /// Reads the new records and keeps the highest version.
+    fn read(&mut self, log: &mut Log, strategy: Strategy) {
+        let is_new = strategy == Strategy::Epochs && self.epoch != log.epoch;
         if is_new || self.next > log.versions.len() {
             (self.epoch, self.next) = (log.epoch, 0);
         }
@@ -55,25 +55,25 @@
         self.version = self.version.max(read);
         self.next = log.versions.len();
         let kept = log.versions.iter().copied().max().unwrap_or_default();
-        if way == Way::WriteBack && kept < self.version {
+        if strategy == Strategy::WriteBack && kept < self.version {
             log.versions.push(self.version);
         }
     }
 }
 
-/// What went wrong in one play.
+/// The faults of one run.
 #[derive(Debug, Default)]
-struct Broken {
-    /// A reader that had read all still had an older version than the log.
+struct Faults {
+    /// A reader that had read all records still had an older version than the log.
     behind: bool,
-    /// A fence was given out twice, or one that is lower than another before.
-    fence: bool,
+    /// A fencing token was repeated, or lower than an earlier one.
+    token: bool,
 }
 
-fn play(way: Way, seed: u64) -> Broken {
+fn run(strategy: Strategy, seed: u64) -> Faults {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let (mut log, mut readers, mut broken) =
-        (Log::default(), [Reader::default(); 4], Broken::default());
+    let (mut log, mut readers, mut faults) =
+        (Log::default(), [Reader::default(); 4], Faults::default());
     let mut highest = None;
     for _ in 0..60 {
         match random.random_range(0..11) {
@@ -86,46 +86,47 @@
                 log.versions.truncate(log.versions.len() - lost);
                 log.epoch += 1;
             }
-            // The operator writes again what was lost.
+            // The operator writes the lost version again.
             5 => log.versions.push(log.newest),
-            // A holder of a duty takes the place of its record for a fence.
+            // A lease holder uses the index of its record as a fencing token.
             6 => {
-                let place = u64::try_from(log.versions.len()).expect("some dozens");
-                let epoch = if way == Way::Epochs { log.epoch } else { 0 };
-                let fence = epoch::offset(epoch, place).expect("both are small");
-                broken.fence |= highest.is_some_and(|highest| fence <= highest);
-                highest = highest.max(Some(fence));
+                let index = u64::try_from(log.versions.len())
+                    .expect("the log has at most some dozens of records");
+                let epoch = if strategy == Strategy::Epochs { log.epoch } else { 0 };
+                let token = epoch::offset(epoch, index).expect("both are small");
+                faults.token |= highest.is_some_and(|highest| token <= highest);
+                highest = highest.max(Some(token));
                 log.versions.push(0);
             }
-            at => readers[at - 7].read(&mut log, way),
+            at => readers[at - 7].read(&mut log, strategy),
         }
     }
     for reader in &mut readers {
-        reader.read(&mut log, way);
+        reader.read(&mut log, strategy);
     }
     let newest = log.versions.iter().copied().max().unwrap_or_default();
-    broken.behind = readers.iter().any(|reader| reader.version < newest);
-    broken
+    faults.behind = readers.iter().any(|reader| reader.version < newest);
+    faults
 }
 
-/// The log gives places out again. Whoever goes by places alone never reads what was written below where it
-/// stood, and fences made of places repeat.
+/// A restored log assigns indices again. Readers that use only indices never read the records
+/// written below their position, and fencing tokens made from indices repeat.
 #[test]
-fn ways_to_follow_a_log_that_comes_back_older() {
+fn strategies_to_follow_a_restored_log() {
     const SEEDS: u64 = 10_000;
     let mut table = String::new();
-    for way in [Way::Places, Way::WriteBack, Way::Epochs] {
-        let plays: Vec<Broken> = (0..SEEDS).map(|seed| play(way, seed)).collect();
-        let behind = plays.iter().filter(|broken| broken.behind).count();
-        let fences = plays.iter().filter(|broken| broken.fence).count();
+    for strategy in [Strategy::Places, Strategy::WriteBack, Strategy::Epochs] {
+        let runs: Vec<Faults> = (0..SEEDS).map(|seed| run(strategy, seed)).collect();
+        let behind = runs.iter().filter(|faults| faults.behind).count();
+        let token_faults = runs.iter().filter(|faults| faults.token).count();
         writeln!(
             table,
-            "{way:?}: of {SEEDS} plays {behind} with a reader behind, {fences} with a \
+            "{strategy:?}: of {SEEDS} plays {behind} with a reader behind, {token_faults} with a \
             fence that repeats or goes back"
         )
         .unwrap();
-        if way == Way::Epochs {
-            assert_eq!((behind, fences), (0, 0));
+        if strategy == Strategy::Epochs {
+            assert_eq!((behind, token_faults), (0, 0));
         }
     }
     insta::assert_snapshot!(table);
--- a/crates/state/examples/slopes.rs
+++ b/crates/state/examples/slopes.rs
@@ -1,4 +1,4 @@
-//! Prints what the folded state costs at the size to design for.
+//! Prints the costs of the folded state at the size that the system is designed for.
 //!
 //! `cargo run --release -p state --example slopes`. Memory is counted by the allocator; times are
 //! medians of repeated runs in this one process, for comparison with each other.
@@ -26,7 +26,7 @@
 const CHANGES: u32 = 1_500;
 const KEYS: u32 = 50_000;
 
-/// How often a timed step is repeated; the median is printed.
+/// The number of repetitions of a timed step; the median is printed.
 const REPEATS: usize = 15;
 
 fn main() {
@@ -38,42 +38,42 @@
 }
 
 /// Prints one line of the table.
-fn row(what: &str, figure: impl std::fmt::Display) {
-    println!("{what:<68} {figure:>14}");
+fn print_row(label: &str, figure: impl std::fmt::Display) {
+    println!("{label:<68} {figure:>14}");
 }
 
 fn config() {
     let records = fleet();
     let region = Region::new(ALLOCATOR);
     let mut config = fold::<Config>(&records);
-    row("config: bytes, 700 targets + 4,500 callers", in_use(&region));
+    print_row("config: bytes, 700 targets + 4,500 callers", in_use(&region));
     change_all(&mut config);
-    row("config: bytes, and a day of 1,500 changes with their audit", in_use(&region));
+    print_row("config: bytes, and a day of 1,500 changes with their audit", in_use(&region));
     assert!(config.audit().all(|audit| audit.outcome.is_ok()), "all changes are accepted");
-    let alone = median(|| change_all(&mut config)) / CHANGES;
-    row("config: a change, nobody reads", format!("{alone:?}"));
+    let without_reader = median(|| change_all(&mut config)) / CHANGES;
+    print_row("config: a change, nobody reads", format!("{without_reader:?}"));
     let mut held = Vec::new();
-    let shared = median(|| {
+    let with_reader = median(|| {
         for number in 0..CHANGES {
             held = vec![config.clone()];
             apply(&mut config, change(number));
         }
     }) / CHANGES;
-    row("config: a change, a reader holds the state before it", format!("{shared:?}"));
+    print_row("config: a change, a reader holds the state before it", format!("{with_reader:?}"));
     drop(held);
-    let deep = median(|| drop(black_box(fold::<Config>(&records))));
-    row("config: fold of all 5,204 resources from the beginning", format!("{deep:?}"));
+    let full_fold = median(|| drop(black_box(fold::<Config>(&records))));
+    print_row("config: fold of all 5,204 resources from the beginning", format!("{full_fold:?}"));
     let snapshot = Snapshot::of(CONFIG_STREAM, &config);
-    row("config: bytes of a snapshot", snapshot.state.len());
-    row("config: records of a checkpoint", snapshot.checkpoint().len());
+    print_row("config: bytes of a snapshot", snapshot.state.len());
+    print_row("config: records of a checkpoint", snapshot.checkpoint().len());
     let encode = median(|| drop(black_box(Snapshot::of(CONFIG_STREAM, &config))));
-    row("config: encode a snapshot", format!("{encode:?}"));
+    print_row("config: encode a snapshot", format!("{encode:?}"));
     let bytes = Snapshots { all: vec![snapshot] }.bytes();
     let decode = median(|| {
-        let snapshots = Snapshots::read("peer", &bytes).expect("it is whole");
+        let snapshots = Snapshots::read("peer", &bytes).expect("the snapshots are valid");
         drop(black_box(snapshots.open::<Config>(CONFIG_STREAM)));
     });
-    row("config: start from a peer's bytes, without the network", format!("{decode:?}"));
+    print_row("config: start from a peer's bytes, without the network", format!("{decode:?}"));
 }
 
 fn calls() {
@@ -83,18 +83,18 @@
     apply(&mut calls, record(Body::Claim(claim)));
     let started = Instant::now();
     for number in 0..KEYS {
-        call(&mut calls, number);
+        apply_call(&mut calls, number);
     }
     let each = started.elapsed() / KEYS;
-    row("calls: bytes, 50,000 keys with answers of 100 bytes", in_use(&region));
-    row("calls: an intent and its answer", format!("{each:?}"));
+    print_row("calls: bytes, 50,000 keys with answers of 100 bytes", in_use(&region));
+    print_row("calls: an intent and its answer", format!("{each:?}"));
     let snapshot = Snapshot::of("calls.l", &calls);
-    row("calls: bytes of a snapshot", snapshot.state.len());
+    print_row("calls: bytes of a snapshot", snapshot.state.len());
     let open = median(|| drop(black_box(snapshot.open::<Calls>())));
-    row("calls: decode a snapshot", format!("{open:?}"));
+    print_row("calls: decode a snapshot", format!("{open:?}"));
 }
 
-fn call(calls: &mut Calls, number: u32) {
+fn apply_call(calls: &mut Calls, number: u32) {
     let key: Vec<u8> = number.to_be_bytes().into_iter().cycle().take(32).collect();
     let (key, digest) = (Bytes::from(key.clone()), Bytes::from(key));
     let intent = calls.end();
@@ -105,29 +105,32 @@
     apply(calls, record(Body::Answer(answer)));
 }
 
-/// Follows a log that holds a checkpoint and a day's changes after it.
+/// Follows a log with a checkpoint and the changes of a day after it.
 fn start_up() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.expect("a runtime can be made");
+    let runtime = runtime.expect("the runtime starts");
     let records = fleet();
-    let took = runtime.block_on(async {
+    let start_time = runtime.block_on(async {
         let log = MemoryLog::new();
         write(&log, records.iter().map(Record::bytes).collect()).await;
         let config = fold::<Config>(&records);
         let parts = Snapshot::of(CONFIG_STREAM, &config).checkpoint();
         write(&log, parts.into_iter().map(|body| record(body).bytes()).collect()).await;
         let end = write(&log, (0..CHANGES).map(|number| change(number).bytes()).collect()).await;
-        // Only the checkpoint and what follows is kept.
-        let log = Arc::new(Kept { log, oldest: config.end() });
+        // Only the checkpoint and the records after it are retained.
+        let log = Arc::new(TruncatedLog { log, oldest: config.end() });
         let started = Instant::now();
         let follower = Follower::<Config>::new(log, CONFIG_STREAM.into());
         let mut state = follower.state();
         let following = tokio::spawn(follower.run());
-        state.wait_for(|state| state.end() == end).await.expect("it runs");
+        state.wait_for(|state| state.end() == end).await.expect("the follower runs");
         following.abort();
         started.elapsed()
     });
-    row("config: start from a checkpoint and 1,500 changes, log in memory", format!("{took:?}"));
+    print_row(
+        "config: start from a checkpoint and 1,500 changes, log in memory",
+        format!("{start_time:?}"),
+    );
 }
 
 async fn write(log: &MemoryLog, records: Vec<Bytes>) -> Offset {
@@ -136,13 +139,13 @@
 }
 
 /// A log whose records before an offset have expired.
-struct Kept {
+struct TruncatedLog {
     log: MemoryLog,
     oldest: Offset,
 }
 
 #[async_trait::async_trait]
-impl Log for Kept {
+impl Log for TruncatedLog {
     async fn append(&self, stream: &str, records: Vec<Bytes>) -> plat::Result<Offset> {
         self.log.append(stream, records).await
     }
@@ -161,58 +164,60 @@
     }
 }
 
-/// Counts what 700 targets' leases and a planner's cost the log in ten minutes of paused time.
+/// Counts the appends and bytes for the leases of 700 targets in ten minutes of paused time.
 fn leases() {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build();
-    let runtime = runtime.expect("a runtime can be made");
+    let runtime = runtime.expect("the runtime starts");
     const SECONDS: u64 = 600;
     for lease in [10, 20, 30] {
         let log = MemoryLog::new();
         runtime.block_on(async {
-            let kept = (0..TARGETS).map(|number| keep(&log, number, Duration::from_secs(lease)));
-            let kept = kept.collect::<Vec<_>>();
+            let leases =
+                (0..TARGETS).map(|number| start_lease(&log, number, Duration::from_secs(lease)));
+            let leases = leases.collect::<Vec<_>>();
             tokio::time::sleep(Duration::from_secs(SECONDS)).await;
-            drop(kept);
+            drop(leases);
         });
         let (appends, bytes) = (log.appends() / SECONDS, log.bytes() / SECONDS);
-        row(&format!("leases of 700 targets, {lease} s: appends a second"), appends);
-        row(&format!("leases of 700 targets, {lease} s: record bytes a second"), bytes);
+        print_row(&format!("leases of 700 targets, {lease} s: appends a second"), appends);
+        print_row(&format!("leases of 700 targets, {lease} s: record bytes a second"), bytes);
     }
     let renewal = Renewal { scope: "planner/region-1".into(), claim: 1 << 40, release: false };
-    row("a renewal: bytes", record(Body::Renewal(renewal)).bytes().len());
+    print_row("a renewal: bytes", record(Body::Renewal(renewal)).bytes().len());
 }
 
-/// How long a pool has no planner after its process was killed, at any moment of its renewals.
+/// Measures how long a pool has no planner after its process was killed, at different times within
+/// the renewal interval.
 fn takeover() {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_all().start_paused(true).build();
-    let runtime = runtime.expect("a runtime can be made");
+    let runtime = runtime.expect("the runtime starts");
     for delay in [10, 300] {
-        let mut times = (0..100).map(|run| runtime.block_on(succeed(run, delay)));
+        let mut times = (0..100).map(|run| runtime.block_on(measure_takeover(run, delay)));
         let mut times = times.by_ref().collect::<Vec<_>>();
         times.sort();
         let figure = format!("{:.1?} / {:.1?}", times[times.len() / 2], times[times.len() - 1]);
-        row(&format!("takeover, log at {delay} ms: median / longest of 100"), figure);
+        print_row(&format!("takeover, log at {delay} ms: median / longest of 100"), figure);
     }
 }
 
-async fn succeed(run: u32, delay: u64) -> Duration {
+async fn measure_takeover(run: u32, delay: u64) -> Duration {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_millis(delay));
-    let first = plan(&log, 1);
-    first.0.held().wait_for(Option::is_some).await.expect("it is kept");
-    let second = plan(&log, 2);
+    let first = start_planner(&log, 1);
+    first.0.held().wait_for(Option::is_some).await.expect("the lease task runs");
+    let second = start_planner(&log, 2);
     tokio::time::sleep(Duration::from_millis(20_000 + 17 * u64::from(run))).await;
-    let killed = tokio::time::Instant::now();
+    let killed_at = tokio::time::Instant::now();
     first.1.abort();
     drop(first);
-    second.0.held().wait_for(Option::is_some).await.expect("it is kept");
+    second.0.held().wait_for(Option::is_some).await.expect("the lease task runs");
     second.1.abort();
-    killed.elapsed()
+    killed_at.elapsed()
 }
 
-fn plan(log: &MemoryLog, incarnation: u64) -> (Lease, tokio::task::JoinHandle<()>) {
+fn start_planner(log: &MemoryLog, incarnation: u64) -> (Lease, tokio::task::JoinHandle<()>) {
     let log: Arc<dyn Log> = Arc::new(log.clone());
     let follower = Follower::<state::System>::new(log.clone(), plat::SYSTEM_STREAM.into());
     let state = follower.state();
@@ -223,7 +228,11 @@
     (Lease::keep(settings, appender, state), following)
 }
 
-fn keep(log: &MemoryLog, number: u32, lease: Duration) -> (Lease, tokio::task::JoinHandle<()>) {
+fn start_lease(
+    log: &MemoryLog,
+    number: u32,
+    lease: Duration,
+) -> (Lease, tokio::task::JoinHandle<()>) {
     let target = format!("engine-{number}");
     let stream = plat::calls_stream(&target);
     let log: Arc<dyn Log> = Arc::new(log.clone());
--- a/crates/state/src/batching.rs
+++ b/crates/state/src/batching.rs
@@ -124,7 +124,7 @@
     }
 }
 
-/// Counts an append in the metrics and returns the offset after its last record.
+/// Updates the counters for an append and returns the offset after its last record.
 fn count_append(shared: &Shared, batch: &[(Pending, Bytes)], offset: Offset) -> Offset {
     let records = batch.len() as u64;
     let bytes = batch.iter().map(|(_, bytes)| bytes.len() as u64).sum();
--- a/crates/state/tests/appender.rs
+++ b/crates/state/tests/appender.rs
@@ -1,4 +1,4 @@
-//! Appends in groups, within the budget, and with lost replies.
+//! Appends in batches, within the rate limit, and with lost replies.
 
 mod common;
 
@@ -16,10 +16,10 @@
     batch.expect("the log is up").entries.len()
 }
 
-// The log takes the record but its reply is lost. A second append would stand twice; giving up
-// would tell an operator that a change failed which is in force.
+// The log appends the record, but its reply is lost. A second append would duplicate the record; an
+// error would report a change as failed that is in effect.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_is_settled_by_reading() {
+async fn lost_reply_is_settled_by_reading() {
     let log = MemoryLog::new();
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
     appender.append(SYSTEM_STREAM, renewal("s", 0)).await.expect("the log is up");
@@ -30,10 +30,10 @@
     assert_eq!((appender.lost_replies(), appender.unsettled()), (1, 0));
 }
 
-// The reply is lost and the write is still on its way when the wait ends. Whoever asked must not
-// hear that nothing was written: the record appears later.
+// The reply is lost, and the append has not arrived yet when the wait ends. It must not be reported
+// as failed, since the record appears later.
 #[tokio::test(start_paused = true)]
-async fn a_write_that_may_still_land_is_called_unsettled() {
+async fn append_that_may_still_arrive_is_unsettled() {
     let log = MemoryLog::new();
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
     log.land_late(1, Duration::from_secs(60));
@@ -44,10 +44,10 @@
     assert_eq!(records(&log).await, 1);
 }
 
-// While the log is out an append is refused, and that refusal is final: nothing of it may appear
-// when the log is back.
+// While the log is unavailable an append is refused, and this is final: the record must not appear
+// when the log is available again.
 #[tokio::test(start_paused = true)]
-async fn what_was_refused_never_appears() {
+async fn refused_record_never_appears() {
     let log = MemoryLog::new();
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
     log.set_out(true);
@@ -58,9 +58,9 @@
     assert_eq!(records(&log).await, 0);
 }
 
-// A caller that gives up while its record still waits for an append has not written it.
+// A record whose writer stops waiting before the append is not appended.
 #[tokio::test(start_paused = true)]
-async fn a_record_whose_writer_left_is_not_appended() {
+async fn record_whose_writer_has_gone_is_not_appended() {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_secs(1));
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
@@ -76,10 +76,10 @@
     assert_eq!(records(&log).await, 1);
 }
 
-// A crowd's calls each need a record, and the log takes several hundred appends a second for all
-// processes together. One append for each record would keep everyone else out.
+// In a burst each call needs a record, and the log accepts several hundred appends per second from
+// all processes together. With one append per record the others could not append.
 #[tokio::test(start_paused = true)]
-async fn records_that_wait_together_share_an_append_within_the_budget() {
+async fn queued_records_share_appends_within_the_rate_limit() {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_millis(20));
     let settings = AppenderSettings { per_second: 10, burst: 5, ..AppenderSettings::default() };
@@ -100,9 +100,10 @@
     assert!(appender.appends() <= 5 + 10 * seconds, "{} in {seconds} s", appender.appends());
 }
 
-// Several processes append to one stream while replies get lost: each learns its own offsets.
+// Several processes append to one stream while replies are lost: each gets the offsets of its own
+// records.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_among_others_records_finds_its_own() {
+async fn lost_reply_is_settled_among_records_of_others() {
     let log = MemoryLog::new();
     let mut a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
--- a/crates/state/tests/calls.rs
+++ b/crates/state/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that may not be repeated: each key runs at most once, and what is told of it is true.
+//! Calls that may not be repeated: each key runs at most once, and its recorded outcome is correct.
 
 mod common;
 
@@ -25,8 +25,8 @@
     calls.call(key.as_bytes()).expect("the key is known").status.clone()
 }
 
-// The same transfer comes in through two entries at once, and the agent appends an intent for
-// each. If both were dispatched, funds would move twice.
+// The same transfer arrives through two entries concurrently, and the agent appends an intent for
+// each. If both were dispatched, the funds would be transferred twice.
 #[test]
 fn only_the_first_intent_of_a_key_is_dispatched() {
     let calls: Calls = fold(&[
@@ -38,10 +38,10 @@
     assert!(!calls.may_dispatch(b"sweep", 2));
 }
 
-// An agent hangs while it appends an intent, and another takes over its target. The intent
-// arrives after the takeover: nobody may dispatch it, and the key is free for the new holder.
+// An agent blocks while it appends an intent, and another one takes over its target. The intent
+// arrives after the takeover: it must not be dispatched, and the new holder can use the key.
 #[test]
-fn an_intent_after_a_takeover_is_void() {
+fn intent_after_a_takeover_is_void() {
     let mut records = vec![
         record("a", claim(SCOPE, None, 1)),
         record("b", claim(SCOPE, Some(0), 2)),
@@ -53,24 +53,24 @@
 }
 
 // An agent is killed between intent and answer. The next holder cannot know whether the target
-// got the call; said to be not run, it would be sent again and could run twice.
+// received the call; reported as not run, it would be retried and could run twice.
 #[test]
-fn a_call_whose_agent_lost_its_claim_is_unknown_until_its_own_author_answers() {
+fn call_is_unknown_after_a_takeover_until_its_author_answers() {
     let mut records = vec![
         record("a", claim(SCOPE, None, 1)),
         record("a", intent("sweep", 0)),
         record("b", claim(SCOPE, Some(1), 2)),
     ];
     assert_eq!(status(&fold(&records), "sweep"), CallStatus::Unknown);
-    // The new holder may not free the key, nor a restarted process of the old one's name.
+    // Neither the new holder nor a restarted process with the old one's name may release the key.
     records.push(record("b", not_run(1, 2)));
     records.push(record("a", not_run(1, 2)));
     records.push(record("b", Body::Answer(answer(1, 2, 200))));
     assert_eq!(status(&fold(&records), "sweep"), CallStatus::Unknown);
-    // A new intent for the key does not count.
+    // A new intent for the key is void.
     records.push(record("b", intent("sweep", 2)));
     assert!(!fold::<Calls>(&records).may_dispatch(b"sweep", 6));
-    // The old one was only paused, and the call it had sent has ended.
+    // The old holder was only paused, and the call that it had dispatched has ended.
     records.push(record("a", Body::Answer(answer(1, 0, 201))));
     let answered = CallStatus::Answered(answer(1, 0, 201));
     assert_eq!(status(&fold(&records), "sweep"), answered);
@@ -79,11 +79,11 @@
     assert_eq!(status(&fold(&records), "sweep"), answered);
 }
 
-// A target breaks off, and its agent records that nobody knows the outcome. A retry that has not
-// read that yet takes the call for one that was given up, and says that it was not run. If that
-// freed the key, the call would run a second time.
+// A target breaks off, and its agent records the outcome as unknown. A retry that has not read this
+// record yet treats the call as abandoned and records it as not run. If that released the key, the
+// call would run a second time.
 #[test]
-fn a_call_of_unknown_outcome_is_never_free_again() {
+fn key_of_an_unknown_outcome_is_never_released() {
     let calls: Calls = fold(&[
         record("a", claim(SCOPE, None, 1)),
         record("a", intent("sweep", 0)),
@@ -95,10 +95,10 @@
     assert!(!calls.may_dispatch(b"sweep", 4));
 }
 
-// A call is refused before it reaches its target, the answer that frees its key is appended
+// A call is refused before it reaches its target, the record that releases its key is appended
 // twice, and the second copy arrives after the caller's retry has begun.
 #[test]
-fn a_key_is_free_after_not_run_and_a_late_copy_does_not_free_it_again() {
+fn not_run_releases_a_key_and_its_late_copy_does_not() {
     let calls: Calls = fold(&[
         record("a", claim(SCOPE, None, 1)),
         record("a", intent("sweep", 0)),
@@ -109,15 +109,16 @@
     assert!(calls.may_dispatch(b"sweep", 3));
 }
 
-// The reply to an intent is lost and reading does not show it in time, so the agent refuses the
-// call as not run and never dispatches it. The intent then lands. A retry finds the key taken
-// until the agent closes its own late intent, and then runs once.
+// The reply to an intent is lost and the intent is not found in time, so the agent refuses the call
+// as not run and never dispatches it. Then the intent arrives. A retry cannot use the key until the
+// agent records its own late intent as not run, and then runs once.
 #[tokio::test(start_paused = true)]
-async fn an_abandoned_intent_that_lands_late_is_closed_by_its_author() {
+async fn late_abandoned_intent_is_closed_by_its_author() {
     let log = MemoryLog::new();
     let stream = plat::calls_stream("ledger-1");
     let mut agent = Process::<Calls>::start(&log, "a", &stream);
-    let claimed = agent.appender.append(&stream, claim(SCOPE, None, 1)).await.expect("up");
+    let claimed =
+        agent.appender.append(&stream, claim(SCOPE, None, 1)).await.expect("the log is up");
     log.land_late(1, Duration::from_secs(30));
     let abandoned = agent.appender.append(&stream, intent("sweep", claimed.offset)).await;
     let Err(Error::Unsettled { .. }) = abandoned else { panic!("{abandoned:?}") };
@@ -126,28 +127,29 @@
     let retry = retry.expect("the log is up").offset;
     let calls = agent.read_to(retry + 1).await;
     assert!(!calls.may_dispatch(b"sweep", retry));
-    let late = calls.call(b"sweep").expect("it landed").intent;
-    agent.appender.append(&stream, not_run(late, claimed.offset)).await.expect("up");
+    let late = calls.call(b"sweep").expect("the intent has arrived").intent;
+    agent.appender.append(&stream, not_run(late, claimed.offset)).await.expect("the log is up");
     let again = agent.appender.append(&stream, intent("sweep", claimed.offset)).await;
     let again = again.expect("the log is up").offset;
     assert!(agent.read_to(again + 1).await.may_dispatch(b"sweep", again));
 }
 
-// Two faults together: the reply to an intent is lost, and while the agent looks for it another
-// process takes over. Both read the log, and neither dispatches.
+// Two faults at the same time: the reply to an intent is lost, and while the agent searches for it
+// another process takes over. Both read the log, and neither dispatches the call.
 #[tokio::test(start_paused = true)]
-async fn a_lost_reply_during_a_takeover_dispatches_nowhere() {
+async fn lost_reply_during_a_takeover_dispatches_nothing() {
     let log = MemoryLog::new();
     let stream = plat::calls_stream("ledger-1");
     let mut a = Process::<Calls>::start(&log, "a", &stream);
     let mut b = Process::<Calls>::start(&log, "b", &stream);
-    let claimed = a.appender.append(&stream, claim(SCOPE, None, 1)).await.expect("up").offset;
+    let claimed =
+        a.appender.append(&stream, claim(SCOPE, None, 1)).await.expect("the log is up").offset;
     b.read_to(1).await;
-    // The successor's claim is held up behind the intent, whose reply is lost.
+    // The successor's claim comes after the intent, whose reply is lost.
     log.lose_replies(1);
     let first = a.appender.append(&stream, intent("sweep", claimed)).await.expect("settled");
     a.gate.set(Open::Held);
-    let last = b.read_to(first.offset + 1).await.holder().expect("held").last;
+    let last = b.read_to(first.offset + 1).await.holder().expect("the target is claimed").last;
     log.lose_replies(1);
     let taken = b.appender.append(&stream, claim(SCOPE, Some(last), 2)).await.expect("settled");
     a.gate.set(Open::All);
@@ -157,10 +159,10 @@
     assert_eq!(at_a, at_b);
 }
 
-// Large answers fill an agent's memory. The oldest bodies go first; their keys stay known, so
-// that a late retry still does not run again.
+// Large answers fill an agent's memory. The oldest bodies are removed first, but their keys are
+// kept, so that a late retry does not run again.
 #[test]
-fn old_bodies_are_left_out_and_their_keys_stay() {
+fn old_bodies_are_omitted_and_their_keys_kept() {
     const BODY: usize = 1024 * 1024;
     let mut calls = Calls::default();
     let mut put = |body: Body| {
@@ -182,17 +184,17 @@
     };
     assert_eq!((left_out("0"), left_out("1")), (true, false));
     let snapshot = state::Snapshot::of("calls", &calls);
-    assert_eq!(snapshot.open::<Calls>().expect("it is whole"), calls);
+    assert_eq!(snapshot.open::<Calls>().expect("the snapshot is valid"), calls);
 }
 
-// A fleet is updated one process at a time, so new code reads what old code wrote.
+// A fleet is updated one process at a time, so new code reads records that old code wrote.
 #[test]
-fn a_record_of_the_first_version_still_reads() {
+fn record_of_the_first_version_can_be_decoded() {
     let bytes = [
         0x08, 0x01, 0x11, 0x07, 0, 0, 0, 0, 0, 0, 0, 0x1a, 0x01, b'a', 0x20, 0x05, 0x82, 0x01,
         0x05, 0x08, 0x03, 0x10, 0xc8, 0x01,
     ];
-    let read = Record::read("calls.x", 9, &bytes).expect("it reads");
+    let read = Record::read("calls.x", 9, &bytes).expect("the record is valid");
     assert_eq!((read.id, read.author.as_str(), read.written_ms), (7, "a", 5));
     assert_eq!(read.body, Some(Body::Answer(answer(3, 0, 200))));
 }
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Who holds a scope is decided by the order of records alone.
+//! The order of the records alone decides who holds a scope.
 
 mod common;
 
@@ -21,40 +21,42 @@
     let mut held = lease.held();
     let held = held.wait_for(Option::is_some);
     let held = tokio::time::timeout(Duration::from_secs(600), held).await;
-    held.expect("it is held in time").expect("it is kept").expect("it is held")
+    held.expect("the scope is held in time")
+        .expect("the lease task runs")
+        .expect("the scope is held")
 }
 
-// A planner renews while another process, which has waited for long enough, claims. Both records
-// are under way at once and either can come first. If both counted, an engine would be told two
-// things by two planners.
+// A planner renews while another process claims after it has waited for the lease to expire. The
+// records are appended concurrently and either can come first. If both were valid, an engine would
+// get orders from two planners.
 #[test]
-fn of_a_claim_and_a_renewal_the_first_in_the_log_counts() {
+fn first_of_a_claim_and_a_renewal_is_valid() {
     let renewed_first: System = fold(&[
         record("a", claim(SCOPE, None, 1)),
         record("a", renewal(SCOPE, 0)),
         record("b", claim(SCOPE, Some(0), 2)),
     ]);
-    assert_eq!(renewed_first.holder(SCOPE).expect("held").process, "a");
+    assert_eq!(renewed_first.holder(SCOPE).expect("the scope is held").process, "a");
     let claimed_first: System = fold(&[
         record("a", claim(SCOPE, None, 1)),
         record("b", claim(SCOPE, Some(0), 2)),
         record("a", renewal(SCOPE, 0)),
     ]);
-    let holder = claimed_first.holder(SCOPE).expect("held");
+    let holder = claimed_first.holder(SCOPE).expect("the scope is held");
     assert_eq!((holder.process.as_str(), holder.last), ("b", 1));
 }
 
-// A planner is paused between deciding on an order and appending it, and wakes up after another
-// took over. Without the check at each reader its engine would change role on the word of a
-// process that no longer knows what the fleet looks like.
+// A planner is paused between deciding on an order and appending it, and resumes after another one
+// took over. Without the check at each reader, an engine would change its role by the order of a
+// process with an outdated view of the fleet.
 #[test]
-fn an_order_of_a_superseded_planner_is_void() {
+fn order_of_a_superseded_planner_is_void() {
     let system: System = fold(&[
         record("a", claim(SCOPE, None, 1)),
         record("b", claim(SCOPE, Some(0), 2)),
         record("a", set_role(SCOPE, 0, "engine-1", "decode")),
         record("b", set_role(SCOPE, 1, "engine-1", "prefill")),
-        // Somebody else's records under the holder's claim are void as well.
+        // Records of another process under the holder's claim are void as well.
         record("c", set_role(SCOPE, 1, "engine-1", "mixed")),
     ]);
     let orders = system.orders("engine-1").map(|order| order.offset).collect::<Vec<_>>();
@@ -63,10 +65,10 @@
     assert_eq!(void.collect::<Vec<_>>(), [2, 4]);
 }
 
-// The same with running processes: the holder hangs in the middle of its append for longer than
-// its lease. Its order reaches the log after the successor's claim.
+// The same with running processes: the holder blocks in an append for longer than its lease. Its
+// order reaches the log after the successor's claim.
 #[tokio::test(start_paused = true)]
-async fn a_holder_paused_while_it_appends_has_no_effect_when_it_wakes_up() {
+async fn holder_paused_in_an_append_has_no_effect_after_a_takeover() {
     let log = MemoryLog::new();
     let mut a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
@@ -80,18 +82,18 @@
     let after = held(&lease_b).await;
     assert!(!before.is_valid());
     a.gate.set(Open::All);
-    let late = late.await.expect("it ends").expect("the log took it");
+    let late = late.await.expect("the append ends").expect("the log accepted it");
     assert!(late.offset > after.claim);
     let system = a.read_to(late.offset + 1).await;
     assert_eq!(system.orders("engine-1").count(), 0);
-    assert_eq!(system.holder(SCOPE).expect("held").process, "b");
+    assert_eq!(system.holder(SCOPE).expect("the scope is held").process, "b");
     drop(lease_a);
 }
 
-// The planner's VM goes away without a word, or is cut off from the log; the log is slow and the
-// successor's first claim loses its reply. Until the takeover no engine gets an order.
+// The planner's VM fails or is cut off from the log, while the log is slow and the reply to the
+// successor's first claim is lost. Until the takeover no engine gets an order.
 #[tokio::test(start_paused = true)]
-async fn a_silent_planner_is_succeeded_in_under_ten_seconds_and_never_overlaps() {
+async fn takeover_from_a_failed_planner_takes_under_ten_seconds_without_overlap() {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_millis(300));
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
@@ -102,18 +104,18 @@
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(*lease_b.held().borrow(), None, "a holder that renews keeps its lease");
     a.gate.set(Open::Cut);
-    let cut = Instant::now();
+    let cut_at = Instant::now();
     log.lose_replies(1);
     held(&lease_b).await;
-    let took = cut.elapsed();
-    assert!(took < Duration::from_secs(10), "the takeover took {took:?}");
+    let takeover_time = cut_at.elapsed();
+    assert!(takeover_time < Duration::from_secs(10), "the takeover took {takeover_time:?}");
     let stale = lease_a.held().borrow().is_some_and(|held| held.is_valid());
     assert!(!stale, "the old holder still trusts its lease");
 }
 
-// Two processes see the same silence and claim at once.
+// Two processes detect the expired lease and claim at the same time.
 #[tokio::test(start_paused = true)]
-async fn of_two_claimants_one_holds() {
+async fn one_of_two_claimants_holds_the_scope() {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_millis(100));
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
@@ -130,7 +132,7 @@
 
 // A graceful stop must not leave the pool without a planner for a whole lease.
 #[tokio::test(start_paused = true)]
-async fn a_scope_that_was_given_up_is_taken_at_once() {
+async fn released_scope_is_claimed_immediately() {
     let log = MemoryLog::new();
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
@@ -138,16 +140,16 @@
     held(&lease_a).await;
     let lease_b = keep(&b, 2);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let released = Instant::now();
+    let released_at = Instant::now();
     lease_a.release().await;
     held(&lease_b).await;
-    assert!(released.elapsed() <= Duration::from_secs(1), "the spread is all it waits");
+    assert!(released_at.elapsed() <= Duration::from_secs(1), "the wait is at most the jitter");
 }
 
-// The log is out for longer than the lease. Nobody may act in the meantime, and when it is back
-// the same holder goes on.
+// The log is unavailable for longer than the lease. No process may act in the meantime, and when
+// the log is available again the same holder continues.
 #[tokio::test(start_paused = true)]
-async fn a_holder_stops_while_the_log_is_out_and_goes_on_after() {
+async fn holder_stops_while_the_log_is_unavailable_and_continues_after() {
     let log = MemoryLog::new();
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let lease = keep(&a, 1);
@@ -159,8 +161,8 @@
     assert_eq!(held(&lease).await.claim, before.claim);
 }
 
-// One request crashes every target that runs it; one that merely ran beside it is cleared. The
-// report of one crash can be appended twice after a lost reply.
+// One request crashes every target that runs it; another one that only ran beside it is cleared.
+// The record of a crash can be appended twice after a lost reply.
 #[test]
 fn two_crashes_refuse_a_request_and_success_clears_it() {
     let crash = |fingerprint, target: &str, cleared| {
@@ -174,13 +176,13 @@
         record("x", crash(7, "engine-1", false)),
     ];
     let system: System = fold(&records);
-    let suspect = system.suspect(7).expect("known");
+    let suspect = system.suspect(7).expect("the suspect is known");
     assert!(suspect.is_suspect() && !suspect.is_refused());
     records.push(record("x", crash(8, "engine-2", true)));
     records.push(record("x", crash(7, "engine-2", false)));
-    // A late copy of the crash that 8 was cleared of.
+    // A late copy of the crash of which request 8 was cleared.
     records.push(record("x", crash(8, "engine-1", false)));
     let system: System = fold(&records);
-    assert!(system.suspect(7).expect("known").is_refused());
-    assert!(system.suspect(8).expect("known").is_cleared());
+    assert!(system.suspect(7).expect("the suspect is known").is_refused());
+    assert!(system.suspect(8).expect("the suspect is known").is_cleared());
 }
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of this crate need: one process's way to the log, and its followers.
+//! Shared by several tests: a process with its access to the log, its appender and its follower.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// One process's way to the log, which can be cut or held up.
+/// A process's access to the log, which can be cut or blocked.
 #[derive(Clone)]
 pub struct Gate {
     log: MemoryLog,
     open: Arc<watch::Sender<Open>>,
 }
 
-/// What the gate lets through.
+/// The calls that the gate lets through.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Open {
-    /// All.
+    /// All calls.
     All,
-    /// Nothing: calls fail.
+    /// None: calls fail.
     Cut,
-    /// Nothing for now: calls hang until it opens, as in a paused process.
+    /// None for now: calls block until the gate opens, as in a paused process.
     Held,
 }
 
@@ -41,7 +41,8 @@
 
     async fn pass(&self, step: &'static str) -> plat::Result<()> {
         let mut open = self.open.subscribe();
-        let open = *open.wait_for(|open| *open != Open::Held).await.expect("the gate is there");
+        let open =
+            *open.wait_for(|open| *open != Open::Held).await.expect("the gate holds the sender");
         if open == Open::Cut {
             let (peer, detail) = ("log".into(), "cut off".into());
             return Err(plat::Error::Unavailable { step, peer, detail });
@@ -71,13 +72,13 @@
     }
 }
 
-/// A process: its appender, and a follower of one stream that runs.
+/// A process: its appender, and a running follower of one stream.
 pub struct Process<F> {
     pub gate: Gate,
     pub appender: Appender,
     pub state: watch::Receiver<Arc<F>>,
     pub health: watch::Receiver<Health>,
-    pub offers: tokio::sync::mpsc::Sender<F>,
+    pub peer_states: tokio::sync::mpsc::Sender<F>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -92,12 +93,12 @@
         let appender = Appender::with(Arc::new(gate.clone()), name.into(), settings);
         let follower = Follower::new(Arc::new(gate.clone()), stream.into()).start_from(state);
         let (state, health) = (follower.state(), follower.health());
-        let offers = follower.peer_states();
+        let peer_states = follower.peer_states();
         let task = tokio::spawn(follower.run());
-        Self { gate, appender, state, health, offers, task }
+        Self { gate, appender, state, health, peer_states, task }
     }
 
-    /// Waits until all records before `end` are applied.
+    /// Waits until all records below `end` are applied.
     pub async fn read_to(&mut self, end: Offset) -> Arc<F> {
         let applied = self.state.wait_for(|state| state.end() >= end);
         let applied = tokio::time::timeout(Duration::from_secs(3_600), applied).await;
@@ -111,7 +112,7 @@
     }
 }
 
-/// Folds records from the beginning.
+/// Folds records from offset 0.
 pub fn fold<F: Fold>(records: &[Record]) -> F {
     let mut state = F::default();
     for (offset, record) in (0..).zip(records) {
--- a/crates/state/tests/config.rs
+++ b/crates/state/tests/config.rs
@@ -1,4 +1,4 @@
-//! Resources: one winner among operators, the same rules at each reader.
+//! Resources: one of several concurrent changes is accepted, and all readers apply the same rules.
 
 mod common;
 
@@ -28,10 +28,10 @@
     json!({"domain": "d1", "agent": agent, "models": ["m"], "adapters": ["x"]})
 }
 
-// Two operators saw the same generation and change it through different entries at once. If both
-// were told that they succeeded, one would not know that the fleet runs the other's change.
+// Two operators read the same generation and change it through different entries concurrently. If
+// both changes succeeded, one operator would not notice that the other's change is in effect.
 #[tokio::test(start_paused = true)]
-async fn of_two_operators_one_wins_and_the_other_is_told_who() {
+async fn one_of_two_operators_succeeds_and_the_other_learns_its_author() {
     let log = MemoryLog::new();
     log.set_delay(Duration::from_millis(50));
     let a = Process::<Config>::start(&log, "entry-a", CONFIG_STREAM);
@@ -43,19 +43,22 @@
         registry_a.apply("ana", &one, Some(0)),
         registry_b.apply("boris", &two, Some(0)),
     );
-    let (won, lost, winner) = match (ana, boris) {
-        (Ok(won), Err(lost)) => (won, lost, "ana"),
-        (Err(lost), Ok(won)) => (won, lost, "boris"),
+    let (accepted, rejected, winner) = match (ana, boris) {
+        (Ok(accepted), Err(rejected)) => (accepted, rejected, "ana"),
+        (Err(rejected), Ok(accepted)) => (accepted, rejected, "boris"),
         both => panic!("{both:?}"),
     };
-    assert_eq!(won.generation, 1);
-    assert!(matches!(&lost, Error::Conflict { detail } if detail.contains(winner)), "{lost}");
+    assert_eq!(accepted.generation, 1);
+    assert!(
+        matches!(&rejected, Error::Conflict { detail } if detail.contains(winner)),
+        "{rejected}"
+    );
 }
 
-// The reply to an operator's change is lost. The change is in force once, and the operator hears
-// the generation it got.
+// The reply to an operator's change is lost. The change takes effect once, and the operator gets
+// its generation.
 #[tokio::test(start_paused = true)]
-async fn a_change_whose_reply_is_lost_is_accepted_once() {
+async fn change_with_a_lost_reply_is_accepted_once() {
     let log = MemoryLog::new();
     let a = Process::<Config>::start(&log, "entry-a", CONFIG_STREAM);
     log.lose_replies(1);
@@ -64,10 +67,10 @@
     assert_eq!(a.state.borrow().audit().count(), 1);
 }
 
-// An operator publishes something that refers to what is not there. It is refused with the
-// field's path before it is appended, and by each reader if it is appended all the same.
+// An operator publishes a resource that refers to a missing one. It is refused with the field's
+// path before it is appended, and by each reader if it is appended nevertheless.
 #[tokio::test(start_paused = true)]
-async fn an_invalid_resource_is_refused_before_the_log_and_at_each_reader() {
+async fn invalid_resource_is_refused_before_the_append_and_by_each_reader() {
     let log = MemoryLog::new();
     let mut a = Process::<Config>::start(&log, "entry-a", CONFIG_STREAM);
     let adapter = json!({"model": "m", "artifact": "x-1"});
@@ -91,8 +94,8 @@
     "#);
 }
 
-// What is referred to cannot go away beneath a target, two callers cannot share a token, and two
-// targets cannot share an agent: each would be noticed only by callers.
+// A referenced resource cannot be deleted, two callers cannot have the same token, and two targets
+// cannot have the same agent: otherwise the fault would show only in the requests of callers.
 #[test]
 fn rules_between_resources_hold() {
     let adapter = |model| json!({"model": model, "artifact": "x-1"});
@@ -120,10 +123,10 @@
     insta::assert_snapshot!(outcomes.collect::<Vec<_>>().join("\n"));
 }
 
-// An operator has a change in hand for a resource that is deleted and made anew by another. With
-// generations that begin anew it would fit the new resource by chance.
+// An operator prepares a change for a resource that another one deletes and creates again. If the
+// generations started again, the change could match the new resource by coincidence.
 #[test]
-fn a_name_that_is_used_again_goes_on_counting() {
+fn reused_name_continues_its_generations() {
     let model = |tokens: u32| Some(json!({"context_tokens": tokens}));
     let records = [
         change(Kind::Model, "m", model(1), Some(0)),
@@ -133,6 +136,6 @@
     ]
     .map(|body| record("ana", body));
     let config: Config = fold(&records);
-    let model = config.get(Kind::Model, "m").expect("it is in force");
+    let model = config.get(Kind::Model, "m").expect("the model is in effect");
     assert_eq!((model.generation, model.offset), (3, 2));
 }
--- a/crates/state/tests/follower.rs
+++ b/crates/state/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Following a log with outages, limited retention, gaps and records that cannot be read.
+//! Following a log with outages, limited retention, gaps and records that cannot be decoded.
 
 mod common;
 
@@ -35,18 +35,19 @@
     process.health.borrow().error.clone()
 }
 
-/// Changes one letter of a resource's name, so that the state still decodes.
-fn spoil(state: &Bytes) -> Bytes {
+/// Changes one letter of a resource's name, so that the state can still be decoded.
+fn corrupt(state: &Bytes) -> Bytes {
     let mut bytes = state.to_vec();
     let at = bytes.windows(2).position(|pair| pair == b"m2").expect("the name is there");
     bytes[at + 1] = b'X';
     bytes.into()
 }
 
-// The log is out for an hour and keeps records for ten minutes. When it is back it is empty. All
-// that operators had published must still be in force, also at a process that starts only then.
+// The log is unavailable for an hour and retains records for ten minutes, so it is empty
+// afterwards. All published resources must still be in effect, also at a process that starts only
+// then.
 #[tokio::test(start_paused = true)]
-async fn an_outage_longer_than_the_retention_loses_nothing() {
+async fn outage_longer_than_the_retention_loses_nothing() {
     let log = MemoryLog::new();
     log.set_retention(Duration::from_secs(600));
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
@@ -72,10 +73,10 @@
     writing.abort();
 }
 
-// A process is cut off for so long that records it has not read expire, and no checkpoint covers
-// them. If it went on from the oldest record it would miss a change for good without a word.
+// A process is cut off until records that it has not read have expired, and no checkpoint covers
+// them. If it continued from the oldest record, it would miss a change for good without an error.
 #[tokio::test(start_paused = true)]
-async fn a_gap_is_not_skipped_and_a_checkpoint_closes_it() {
+async fn gap_is_not_skipped_and_a_checkpoint_closes_it() {
     let log = MemoryLog::new();
     log.set_retention(Duration::from_secs(60));
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
@@ -98,10 +99,10 @@
     assert_eq!(rebased.list(Kind::Model).count(), 4);
 }
 
-// A checkpoint is torn, another is by a newer release, and one is older than the gap. Taken as
-// they are, they would bring back deleted callers or none at all; the next good one is used.
+// One checkpoint is corrupt, another one is of a newer release, and one is older than the gap. If
+// they were used, deleted callers could return or all callers be lost; the next valid one is used.
 #[tokio::test(start_paused = true)]
-async fn checkpoints_that_do_not_help_are_passed_over() {
+async fn unusable_checkpoints_are_skipped() {
     let log = MemoryLog::new();
     log.set_retention(Duration::from_secs(60));
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
@@ -118,7 +119,7 @@
         parts
     };
     write(&a, part(&old, |_| ())).await;
-    write(&a, part(&whole, |torn| torn.state = spoil(&torn.state))).await;
+    write(&a, part(&whole, |damaged| damaged.state = corrupt(&damaged.state))).await;
     write(&a, part(&whole, |newer| newer.state_version += 1)).await;
     let late = Process::<Config>::start(&log, "late", CONFIG_STREAM);
     tokio::time::sleep(Duration::from_secs(10)).await;
@@ -130,11 +131,11 @@
     assert_eq!(late.state.borrow().list(Kind::Model).count(), 2);
 }
 
-// During an update an old process meets a record of a newer release. Skipping it, it would judge
-// later records otherwise than the rest of the fleet, so it stays where it is and says so. The
-// state of a peer that could read the record takes it past.
+// During an update an old process reads a record of a newer release. If it skipped that record, it
+// would judge later records differently from the rest of the fleet, so it stops there and reports
+// it. With the state of a peer that could decode the record it continues.
 #[tokio::test(start_paused = true)]
-async fn a_record_of_a_newer_release_stops_the_stream_until_a_state_goes_past_it() {
+async fn record_of_a_newer_release_stops_the_follower_until_a_later_state() {
     let log = MemoryLog::new();
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     publish(&a, "m1").await;
@@ -143,20 +144,20 @@
     publish(&a, "m2").await;
     tokio::time::sleep(Duration::from_secs(10)).await;
     a.read_to(1).await;
-    let seen = follow_error(&a).expect("it is said").to_string();
-    assert_eq!(seen, "record 1 of config: written by a newer version, 2");
+    let reported = follow_error(&a).expect("the follower reports it").to_string();
+    assert_eq!(reported, "record 1 of config: written by a newer version, 2");
     assert_eq!(a.state.borrow().end(), 1);
     let mut peer = Config::clone(&a.state.borrow());
     peer.apply(1, &Record::new(1, "new", 0, claim("s", None, 1)));
-    a.offers.send(peer).await.expect("it runs");
+    a.peer_states.send(peer).await.expect("the follower runs");
     assert_eq!(a.read_to(3).await.list(Kind::Model).count(), 2);
     assert!(follow_error(&a).is_none());
 }
 
-// An entry restarts while the log is out and takes its state from a peer; the log comes back with
-// less than that, as after a restore. Going back would bring withdrawn callers back.
+// An entry restarts while the log is unavailable and starts from the state of a peer. Afterwards
+// the log has fewer records, as after a restore. With an older state deleted callers would return.
 #[tokio::test(start_paused = true)]
-async fn a_state_never_goes_back() {
+async fn state_is_never_replaced_by_an_older_one() {
     let log = MemoryLog::new();
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     publish(&a, "m1").await;
@@ -164,11 +165,12 @@
     let state = Config::clone(&*a.read_to(2).await);
     let mut behind = Config::default();
     let batch = log.read(CONFIG_STREAM, 0, 1, Duration::ZERO).await.expect("the log is up");
-    let first = Record::read(CONFIG_STREAM, 0, &batch.entries[0].bytes).expect("it reads");
+    let first =
+        Record::read(CONFIG_STREAM, 0, &batch.entries[0].bytes).expect("the record is valid");
     behind.apply(0, &first);
     log.set_out(true);
     let restarted = Process::start_from(&log, "r", CONFIG_STREAM, state.clone());
-    restarted.offers.send(behind).await.expect("it runs");
+    restarted.peer_states.send(behind).await.expect("the follower runs");
     tokio::time::sleep(Duration::from_secs(10)).await;
     assert_eq!(**restarted.state.borrow(), state);
     let other = MemoryLog::new();
@@ -178,9 +180,9 @@
     assert_eq!(**moved.state.borrow(), state);
 }
 
-// A checkpoint of a large fleet does not fit one record; two writers' parts stand mixed.
+// A checkpoint of a large fleet does not fit one record, and the log has parts of two writers.
 #[tokio::test(start_paused = true)]
-async fn a_large_checkpoint_travels_in_parts() {
+async fn large_checkpoint_is_split_into_parts() {
     let log = MemoryLog::new();
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     for number in 0..3_000 {
@@ -200,7 +202,7 @@
     assert!(parts.len() > 2, "{} parts", parts.len());
     log.set_retention(Duration::from_secs(60));
     tokio::time::sleep(Duration::from_secs(61)).await;
-    // A writer died after its first part, and another wrote all.
+    // A writer failed after its first part, and another one wrote all parts.
     write(&a, parts[..1].to_vec()).await;
     write(&a, parts).await;
     let mut late = Process::<Config>::start(&log, "late", CONFIG_STREAM);
@@ -208,11 +210,11 @@
     assert_eq!(late.read_to(end).await.list(Kind::Caller).count(), 3_000);
 }
 
-// Bytes that are no record at all must stop the stream too, not the process.
+// Bytes that are not a record must stop the follower too, but not the process.
 #[tokio::test(start_paused = true)]
-async fn bytes_that_are_no_record_stop_the_stream() {
+async fn bytes_that_are_no_record_stop_the_follower() {
     let log = MemoryLog::new();
-    log.append(CONFIG_STREAM, vec![Bytes::from_static(b"\xff\xff")]).await.expect("up");
+    log.append(CONFIG_STREAM, vec![Bytes::from_static(b"\xff\xff")]).await.expect("the log is up");
     let a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     tokio::time::sleep(Duration::from_secs(5)).await;
     assert!(matches!(follow_error(&a), Some(FollowError::Unreadable(_))));
--- a/crates/state/tests/properties.rs
+++ b/crates/state/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of the folds under any interleaving of records, copies, lost and late writes.
+//! Properties of the folds under any interleaving of records, duplicates, lost and late appends.
 
 mod common;
 
@@ -19,7 +19,7 @@
 /// The most steps of one case.
 const STEPS: usize = 300;
 
-/// Counts cases, to report how much was tried.
+/// Counts the cases, for the report.
 #[derive(Default)]
 struct Tally {
     cases: AtomicUsize,
@@ -34,50 +34,51 @@
         self.runs.fetch_add(runs, Ordering::Relaxed);
     }
 
-    /// Reports, and fails if the cases never came to what they are about.
-    fn report(&self, what: &str) {
+    /// Prints the counts, and fails if no case had the effect under test.
+    fn report(&self, property: &str) {
         let [cases, longest, runs] =
             [&self.cases, &self.longest, &self.runs].map(|count| count.load(Ordering::Relaxed));
-        println!("{what}: {cases} cases, the longest of {longest} steps, {runs} took effect");
+        println!("{property}: {cases} cases, the longest of {longest} steps, {runs} took effect");
         assert!(runs > 0, "no case had an effect");
     }
 }
 
-/// Below this of 256, a step that would end most others' work is taken.
+/// The number, out of 256, of `luck` values with which a disruptive step is taken.
 const RARE: u8 = 24;
 
-/// One step of one of three processes, or of the network between them and the log.
+/// A step of one of three processes, or of the network between them and the log.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Step {
-    /// A process reads up to some records more.
+    /// A process reads up to `records` more records.
     Read { process: u8, records: u8 },
-    /// A process restarts with nothing and a new incarnation, if `luck` is low.
+    /// A process restarts with an empty state and a new incarnation, if `luck` is low.
     Restart { process: u8, luck: u8 },
-    /// A process claims, by what it has read: a free scope always, a held one if `luck` is low.
+    /// A process claims, given the records it has read: always a free scope, a held one if `luck`
+    /// is low.
     Claim { process: u8, luck: u8, fate: Fate },
-    /// A process renews.
+    /// A process renews its claim.
     Renew { process: u8, fate: Fate },
-    /// A process orders, or means to run a key.
+    /// A process appends an order, or the intent to run a key.
     Act { process: u8, key: u8, fate: Fate },
-    /// A process dispatches what it may, or says of what it gave up that it was not run.
+    /// A process dispatches a call if it may, or records an abandoned one as not run.
     Settle { process: u8, intent: u8, run: bool, fate: Fate },
-    /// A process reads all, acts, reads all and settles, as a quiet one does.
-    Whole { process: u8, key: u8, run: bool, fate: Fate },
-    /// A write that was under way lands.
-    Land { write: u8 },
-    /// A record is written again.
-    Copy { record: u8 },
+    /// A process reads all records, acts, reads all records and settles, as without concurrency.
+    Sequential { process: u8, key: u8, run: bool, fate: Fate },
+    /// A delayed append arrives.
+    Arrive { write: u8 },
+    /// A record is duplicated.
+    Duplicate { record: u8 },
 }
 
-/// What becomes of a write.
+/// The outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, TypeGenerator)]
 enum Fate {
-    /// It is in the log, and its author knows the offset.
+    /// The record is in the log, and its author got the offset.
     Written,
-    /// It is in the log, and the author finds it by reading.
+    /// The record is in the log, and its author finds it by reading.
     ReplyLost,
-    /// The author gives it up, and it lands later or never.
-    Late,
+    /// The author abandons the append, which arrives later or never.
+    Delayed,
 }
 
 /// A process of the model.
@@ -85,17 +86,17 @@
 struct Process<F> {
     state: F,
     incarnation: u64,
-    /// Intents whose offset it knows, by key, and which it may still dispatch.
+    /// The keys and known offsets of the intents that it may still dispatch.
     intents: Vec<(Bytes, Offset)>,
 }
 
-/// The model: a log, writes under way, and processes that see a part of it.
+/// The model: a log, delayed appends, and processes that have read a part of the log.
 #[derive(Default)]
 struct Model<F> {
     log: Vec<Record>,
-    flying: Vec<Record>,
+    delayed: Vec<Record>,
     processes: [Process<F>; 3],
-    /// How often each key reached the target.
+    /// The number of times that each key reached the target.
     runs: HashMap<Bytes, u32>,
     ids: u64,
 }
@@ -104,16 +105,16 @@
     fn write(&mut self, process: usize, body: Body, fate: Fate) -> Option<Offset> {
         self.ids += 1;
         let record = Record { id: self.ids, ..record(NAMES[process], body) };
-        if fate == Fate::Late {
-            self.flying.push(record);
+        if fate == Fate::Delayed {
+            self.delayed.push(record);
             return None;
         }
         self.log.push(record);
         Some(self.log.len() as Offset - 1)
     }
 
-    /// The claim that a process believes to hold.
-    fn own(&self, process: usize) -> Option<Offset> {
+    /// The claim that a process holds by its own state.
+    fn held_claim(&self, process: usize) -> Option<Offset> {
         let Process { state, incarnation, .. } = &self.processes[process];
         let holder = state.holder(SCOPE).filter(|h| h.is(NAMES[process], *incarnation));
         holder.map(|holder| holder.claim)
@@ -149,23 +150,23 @@
             }
             Step::Renew { process, fate } => {
                 let process = usize::from(process) % 3;
-                if let Some(claim) = self.own(process) {
+                if let Some(claim) = self.held_claim(process) {
                     self.write(process, renewal(SCOPE, claim), fate);
                 }
             }
-            Step::Land { write } => {
-                if !self.flying.is_empty() {
-                    let record = self.flying.remove(usize::from(write) % self.flying.len());
+            Step::Arrive { write } => {
+                if !self.delayed.is_empty() {
+                    let record = self.delayed.remove(usize::from(write) % self.delayed.len());
                     self.log.push(record);
                 }
             }
-            Step::Copy { record } => {
+            Step::Duplicate { record } => {
                 if !self.log.is_empty() {
                     let copy = self.log[usize::from(record) % self.log.len()].clone();
                     self.log.push(copy);
                 }
             }
-            Step::Act { .. } | Step::Settle { .. } | Step::Whole { .. } => {}
+            Step::Act { .. } | Step::Settle { .. } | Step::Sequential { .. } => {}
         }
     }
 }
@@ -175,7 +176,7 @@
         match step {
             Step::Act { process, key, fate } => {
                 let process = usize::from(process) % 3;
-                let Some(claim) = self.own(process) else { return };
+                let Some(claim) = self.held_claim(process) else { return };
                 let key = Bytes::from(vec![key % 2]);
                 let digest = Bytes::new();
                 let intent = Intent { key: key.clone(), digest, scope: SCOPE.into(), claim };
@@ -189,7 +190,7 @@
                 if intents.is_empty() {
                     return;
                 }
-                // Dispatched or given up, it is so once and for all.
+                // A call is dispatched or abandoned only once.
                 let (key, intent) = intents.remove(usize::from(intent) % intents.len());
                 let state = &self.processes[process].state;
                 let Some(claim) = state.call(&key).map(|call| call.claim) else { return };
@@ -205,7 +206,7 @@
                 }
                 self.write(process, Body::Answer(answer), fate);
             }
-            Step::Whole { process, key, run, fate } => {
+            Step::Sequential { process, key, run, fate } => {
                 let records = u8::MAX;
                 self.step(Step::Read { process, records });
                 self.call(Step::Act { process, key, fate });
@@ -221,23 +222,24 @@
     (produce::<Vec<Step>>().with().len(0..=STEPS), produce::<u8>())
 }
 
-/// Folds the log in several ways, which must end alike.
+/// Folds the log in several ways, which must result in the same state.
 fn assert_all_readers_agree<F: Fold + std::fmt::Debug>(log: &[Record], cut: u8) {
-    let whole: F = common::fold(log);
+    let full: F = common::fold(log);
     let cut = usize::from(cut) % (log.len() + 1);
     let part: F = common::fold(&log[..cut]);
     let snapshot = Snapshot::of("s", &part);
-    let mut resumed = snapshot.open::<F>().expect("it is whole");
+    let mut resumed = snapshot.open::<F>().expect("the bytes are valid");
     assert_eq!(resumed, part);
     assert_eq!(resumed.encode(), part.encode());
     for (offset, record) in (0..).zip(log).skip(cut) {
-        let read = Record::read("s", offset, &record.bytes()).expect("it is whole");
+        let read = Record::read("s", offset, &record.bytes()).expect("the bytes are valid");
         resumed.apply(offset, &read);
     }
-    assert_eq!(resumed, whole);
+    assert_eq!(resumed, full);
 }
 
-// However records interleave, are copied, lost or late, a key reaches the target at most once.
+// However records are interleaved, duplicated, lost or late, a key reaches the target at most
+// once.
 #[test]
 fn each_key_runs_at_most_once() {
     let tally = Tally::default();
@@ -254,10 +256,10 @@
     tally.report("each key at most once");
 }
 
-// However records interleave, an order counts only if its claim was the last valid one before it,
-// and a claim only if it names the last record of the holder before it.
+// However records are interleaved, an order is valid only if its claim was the last valid one
+// before it, and a claim only if it names the last record of the holder before it.
 #[test]
-fn one_holder_at_each_offset_and_only_its_orders_count() {
+fn one_holder_at_each_offset_and_only_its_orders_are_valid() {
     let tally = Tally::default();
     bolero::check!().with_generator(cases()).cloned().for_each(|(steps, cut)| {
         let count = steps.len();
@@ -268,7 +270,7 @@
                 continue;
             };
             let process = usize::from(process) % 3;
-            if let Some(claim) = model.own(process) {
+            if let Some(claim) = model.held_claim(process) {
                 let target = if key % 2 == 0 { "engine-1" } else { "engine-2" };
                 model.write(process, set_role(SCOPE, claim, target, "decode"), fate);
             }
@@ -280,10 +282,10 @@
     tally.report("one holder at each offset");
 }
 
-/// Counts the orders that are valid; judges each record by what stands before it, without the fold's own bookkeeping.
+/// Counts the valid orders. Judges each record by the records before it, without the fold.
 fn assert_orders_have_a_holder(log: &[Record]) -> usize {
     let mut holder: Option<(String, Offset, Offset)> = None;
-    let mut counts = HashSet::new();
+    let mut valid_offsets = HashSet::new();
     for (offset, record) in (0..).zip(log) {
         let by_holder = |claim| {
             holder.as_ref().is_some_and(|(who, held, _)| *who == record.author && *held == claim)
@@ -300,17 +302,17 @@
             (_, false) => {}
         }
         if valid && matches!(record.body, Some(Body::Order(_))) {
-            counts.insert(offset);
+            valid_offsets.insert(offset);
         }
     }
     let system: System = common::fold(log);
     let orders = ["engine-1", "engine-2"].into_iter().flat_map(|target| system.orders(target));
-    assert_eq!(orders.map(|order| order.offset).collect::<HashSet<_>>(), counts);
+    assert_eq!(orders.map(|order| order.offset).collect::<HashSet<_>>(), valid_offsets);
     assert_eq!(system.holder(SCOPE).map(|h| (h.claim, h.last)), holder.map(|h| (h.1, h.2)));
-    counts.len()
+    valid_offsets.len()
 }
 
-/// A change of one of a few resources that refer to each other.
+/// A change of one of several resources that refer to each other.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 struct Edit {
     kind: u8,
@@ -339,8 +341,8 @@
     })
 }
 
-// Whatever operators send, in whatever order: all readers agree, each accepted change counts a
-// resource's generation up, and no resource in force refers to one that isn't.
+// For any changes in any order: all readers agree, each accepted change increments the generation
+// of its resource, and no resource in effect refers to one that is not.
 #[test]
 fn accepted_changes_never_revert_and_references_hold() {
     let tally = Tally::default();
@@ -364,7 +366,7 @@
     tally.report("accepted changes never revert");
 }
 
-// A torn record, a record of another program, or a frame of a broken peer.
+// Corrupt records, records of another program, or replies of a faulty peer.
 #[test]
 fn any_bytes_decode_or_fail_without_a_panic() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|bytes| {
@@ -379,11 +381,11 @@
         calls.apply(0, &record);
         let mut config = Config::default();
         config.apply(0, &record);
-        assert_eq!(Record::read("s", 0, &record.bytes()).expect("it reads"), record);
+        assert_eq!(Record::read("s", 0, &record.bytes()).expect("the record is valid"), record);
     });
 }
 
-// Any order that the fold takes in can be described in the audit trail and written down again.
+// Any order that the fold accepts can be described in the audit trail and encoded in a snapshot.
 #[test]
 fn any_order_survives_a_snapshot() {
     bolero::check!().with_type::<(String, String)>().for_each(|(target, role)| {
@@ -394,6 +396,6 @@
         let order = state::record::Order { scope, claim: 0, target, kind };
         system.apply(1, &record("a", Body::Order(order)));
         let opened = Snapshot::of("s", &system).open::<System>();
-        assert_eq!(opened.expect("it is whole"), system);
+        assert_eq!(opened.expect("the bytes are valid"), system);
     });
 }
