--- a/crates/plat/src/log.rs
+++ b/crates/plat/src/log.rs
@@ -15,7 +15,7 @@
 /// The stream on which operators publish resources.
 pub const CONFIG_STREAM: &str = "config";
 
-/// The stream of claims, orders, outcomes and statuses.
+/// The stream of claims, orders, outcomes and suspects.
 pub const SYSTEM_STREAM: &str = "system";
 
 /// The stream of the claim on one target and of its calls that may not be repeated.
