--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -285,7 +285,7 @@
     pub tokens: u64,
     /// Tokens that were queued there before the prompt.
     #[prost(uint64, tag = "4")]
-    pub waiting: u64,
+    pub queued_tokens: u64,
     /// Whether the grant includes a permit, see [`crate::request::permits`].
     #[prost(bool, tag = "5")]
     pub permit: bool,
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -115,7 +115,7 @@
         let Self { shared, callers, readiness, metrics, peers, reporter, addresses } = self;
         let log: Arc<dyn KeyedLog> = Arc::new(InstrumentedLog::new(log, shared.metrics.clone()));
         let peers = Arc::new(peers);
-        shared.post.open(peers.clone());
+        shared.peer_socket.open(peers.clone());
         let (close_idle, stop_accepting) = (CancellationToken::new(), CancellationToken::new());
         let server = Arc::new(CallerServer::new(stop.clone(), close_idle.clone()));
         let mut tasks = JoinSet::new();
@@ -133,7 +133,7 @@
         tasks.spawn(gossip::publish(shared.clone(), peers.clone()));
         tasks.spawn(gossip::receive(shared.clone(), peers));
         if let Some((reporter, settings)) = reporter {
-            let incarnation = shared.post.unique_id();
+            let incarnation = shared.peer_socket.unique_id();
             shared.usage.start(settings.window, incarnation);
             tasks.spawn(metering::run(shared.clone()));
             tasks.spawn(billing::run(shared.clone(), log.clone(), reporter, settings, incarnation));
--- a/crates/direct/src/duty/metering.rs
+++ b/crates/direct/src/duty/metering.rs
@@ -9,7 +9,7 @@
 /// Sends a message to all other entries that may bill.
 pub fn publish(shared: &Shared, payload: &Payload) {
     for address in addresses(shared) {
-        shared.post.send(payload.clone(), address);
+        shared.peer_socket.send(payload.clone(), address);
     }
 }
 
--- a/crates/direct/src/duty/stage_planner/orders.rs
+++ b/crates/direct/src/duty/stage_planner/orders.rs
@@ -61,7 +61,7 @@
                 // Its record is read at once; if it is not a plan, the next check finds the same
                 // imbalance. After any other error the plan may or may not be in the stream; either
                 // way no orders are sent for it.
-                self.shared.notices.notify_one();
+                self.shared.entry_stream_changed.notify_one();
                 log::info!(target: "stages", error:% = error; "plan not made");
                 return;
             }
--- a/crates/direct/src/exchange/broadcast.rs
+++ b/crates/direct/src/exchange/broadcast.rs
@@ -44,7 +44,7 @@
     let members = shared.peers.members();
     for message in split(span) {
         for address in members.iter().filter_map(|member| member.address) {
-            shared.post.send(Payload::LogRecords(message.clone()), address);
+            shared.peer_socket.send(Payload::LogRecords(message.clone()), address);
         }
     }
 }
@@ -97,7 +97,7 @@
     let members = shared.peers.members();
     let member = members.iter().find(|member| member.key == ahead);
     if let Some(address) = member.and_then(|member| member.address) {
-        shared.post.send(Payload::ConfigRequest(ConfigRequest { next }), address);
+        shared.peer_socket.send(Payload::ConfigRequest(ConfigRequest { next }), address);
     }
 }
 
@@ -107,7 +107,7 @@
     let Some(record) = record else { return };
     let (topic, start) = (topic_index(Topic::Config), request.next);
     let message = LogRecords { topic, start, log_degraded: true, records: vec![encode(&record)] };
-    shared.post.send(Payload::LogRecords(message), to);
+    shared.peer_socket.send(Payload::LogRecords(message), to);
 }
 
 /// Queues records that another entry has forwarded.
--- a/crates/direct/src/exchange/coordination/prefill.rs
+++ b/crates/direct/src/exchange/coordination/prefill.rs
@@ -54,7 +54,7 @@
         let requested = if self.request.decode_engines { &decode } else { &prefill };
         let (placement, engines) = self.place(requested);
         match placement {
-            Placement::Prefill { at, copy_from, tokens } => {
+            Placement::Prefill { engine: at, copy_from, tokens } => {
                 let engine = &engines[at];
                 let permit = match self.acquire_permit(engine.key) {
                     Ok(permit) => permit,
@@ -67,8 +67,8 @@
                     self.now,
                 );
                 let copy_from = copy_from.map_or(0, |from| short_hash(engines[from].key));
-                let (engine, waiting) = (short_hash(engine.key), engines[at].queued_tokens);
-                Decision::Granted(Granted { engine, copy_from, tokens, waiting, permit })
+                let (engine, queued_tokens) = (short_hash(engine.key), engines[at].queued_tokens);
+                Decision::Granted(Granted { engine, copy_from, tokens, queued_tokens, permit })
             }
             Placement::Full(retry_after) => {
                 let decode_engine = !self.request.decode_engines
--- a/crates/direct/src/exchange/entry_stream/reader.rs
+++ b/crates/direct/src/exchange/entry_stream/reader.rs
@@ -92,7 +92,7 @@
                 }
             }
             // Ends early when a plan was refused because the stream had grown.
-            let _ = timeout(READ_INTERVAL, self.shared.notices.notified()).await;
+            let _ = timeout(READ_INTERVAL, self.shared.entry_stream_changed.notified()).await;
         }
     }
 
@@ -109,7 +109,7 @@
                     }
                     FollowStep::Apply(span) => Some(span),
                 },
-            () = self.shared.notices.notified() => None,
+            () = self.shared.entry_stream_changed.notified() => None,
         }
     }
 
@@ -165,7 +165,7 @@
             let span = tail::RecordSpan { topic, start, log_degraded, records: changed };
             broadcast::forward(&self.shared, &span);
         }
-        self.shared.note_read(Topic::Notices, self.change_end);
+        self.shared.record_read(Topic::Notices, self.change_end);
         self.entries.retain(|_, entry| now.duration_since(entry.heartbeat_at) < HEARTBEAT_TIMEOUT);
         self.publish(view);
     }
--- a/crates/direct/src/exchange/follow.rs
+++ b/crates/direct/src/exchange/follow.rs
@@ -253,7 +253,7 @@
 /// peer.
 fn record_change(shared: &Shared, topic: Topic, change_end: Offset, own: bool) {
     if own {
-        shared.note_read(topic, change_end);
+        shared.record_read(topic, change_end);
     } else {
         shared.tail.record_forwarded(topic, change_end);
     }
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -177,7 +177,7 @@
         }
         let pause = Duration::from_millis(row.pause_ms.into()).min(MAX_REPORTED_PAUSE);
         if let Some(target) = shared.fleet().by_key(row.target).filter(|_| !pause.is_zero()) {
-            target.note_pause_elsewhere(now + pause);
+            target.record_peer_pause(now + pause);
         }
     }
 }
@@ -186,11 +186,11 @@
     match payload {
         Payload::PrefillRequest(_) | Payload::DecodeRequest(_) | Payload::PermitRequest(_) => {
             if let Some(response) = coordination::respond(shared, &payload) {
-                shared.post.send(Payload::Response(response), from);
+                shared.peer_socket.send(Payload::Response(response), from);
             }
         }
         Payload::Response(response) => {
-            if let Err(response) = shared.post.deliver(response) {
+            if let Err(response) = shared.peer_socket.deliver(response) {
                 release_unused(shared, &response, from);
             }
         }
@@ -210,5 +210,5 @@
     let Some(Decision::Granted(granted)) = response.decision else { return };
     let Granted { engine, .. } = granted;
     let report = Report { reservation: response.reservation, engine, ..Report::default() };
-    shared.post.send(Payload::Report(report), from);
+    shared.peer_socket.send(Payload::Report(report), from);
 }
--- a/crates/direct/src/request/attempts.rs
+++ b/crates/direct/src/request/attempts.rs
@@ -72,7 +72,7 @@
         self.sent += 1;
         match outcome {
             Outcome::NotSent(_) | Outcome::NotRun(_) | Outcome::Closed(_) => true,
-            Outcome::Answered(answered) => {
+            Outcome::Responded(answered) => {
                 self.may_have_run = true;
                 answered.response.status().is_server_error() && request.may_retry()
             }
--- a/crates/direct/src/request/coordinator_client.rs
+++ b/crates/direct/src/request/coordinator_client.rs
@@ -34,7 +34,7 @@
     objective: Duration,
     make_payload: impl Fn(ReservationId) -> Payload,
 ) -> Option<(Response, Member)> {
-    let socket = &request.shared.post;
+    let socket = &request.shared.peer_socket;
     let time_limit = objective.mul_f64(TIMEOUT_SHARE).max(MIN_TIMEOUT);
     for coordinator in &group.coordinators {
         if socket.is_unresponsive(coordinator.key, Instant::now()) {
@@ -66,8 +66,8 @@
     let Some(address) = coordinator.address else {
         return coordination::respond(shared, &payload);
     };
-    let mut pending = shared.post.expect_response(id);
-    shared.post.send(payload, address);
+    let mut pending = shared.peer_socket.expect_response(id);
+    shared.peer_socket.send(payload, address);
     timeout(time_limit, &mut pending.response).await.ok()?.ok()
 }
 
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -36,12 +36,12 @@
     };
     let outcome =
         attempt::send(&*request.shared.codec, target, &request.buffered, head, &bounds).await;
-    if let Outcome::Answered(answered) = &outcome
+    if let Outcome::Responded(answered) = &outcome
         && let Some(duration) = answered.connection.connect_time
     {
         request.shared.record_connect_time(target, duration);
     }
-    if matches!(outcome, Outcome::Answered(_) | Outcome::NotRun(_)) {
+    if matches!(outcome, Outcome::Responded(_) | Outcome::NotRun(_)) {
         permits::publish_limit(&request.shared, target, permit, sent_at);
     }
     outcome
--- a/crates/direct/src/request/generate/decode_step.rs
+++ b/crates/direct/src/request/generate/decode_step.rs
@@ -14,7 +14,7 @@
 use crate::request::reservation::{self, Reservation};
 use crate::request::response::Body;
 use crate::request::trace::Trace;
-use crate::targets::attempt::{Answered, Outcome};
+use crate::targets::attempt::{Outcome, Responded};
 use crate::targets::target::{Target, TransferDirection};
 use http::Response;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
         step.record_transfer_time(&engine, &outcome, began.elapsed());
         let retry = step.attempts.record(&step.request, &engine, &outcome);
         match outcome {
-            Outcome::Answered(answered) => return step.forward(answered, booking),
+            Outcome::Responded(answered) => return step.forward(answered, booking),
             // The engine may have taken the KV cache.
             Outcome::Unknown(_) => step.prompt_state = PromptState::AnyEngine,
             Outcome::NotRun(_) | Outcome::NotSent(_) | Outcome::TimedOut | Outcome::Closed(_) => {}
@@ -144,7 +144,7 @@
             return;
         }
         let duration = match outcome {
-            Outcome::Answered(_) => duration,
+            Outcome::Responded(_) => duration,
             Outcome::NotRun(_) => self.request.unresponsive_after(),
             Outcome::NotSent(_) | Outcome::Unknown(_) | Outcome::TimedOut | Outcome::Closed(_) => {
                 return;
@@ -156,7 +156,7 @@
         reservation::publish_transfer(&self.request.shared, cache.holder(), destination, duration);
     }
 
-    fn forward(mut self, answered: Box<Answered>, booking: Booking) -> Response<Body> {
+    fn forward(mut self, answered: Box<Responded>, booking: Booking) -> Response<Body> {
         if let PromptState::Cached(cache) = &mut self.prompt_state {
             cache.mark_taken();
         }
--- a/crates/direct/src/request/generate/prefill_step.rs
+++ b/crates/direct/src/request/generate/prefill_step.rs
@@ -228,7 +228,7 @@
                 .unwrap_or_default();
             Choice::Full { retry_after, cached_tokens }
         }
-        prefill::Placement::Prefill { at, copy_from, tokens } => {
+        prefill::Placement::Prefill { engine: at, copy_from, tokens } => {
             let (engine, queued_tokens) = (engines[at].clone(), candidates[at].queued_tokens);
             let fetch_from = copy_from.map(|at| engines[at].clone());
             let permit = Permit::Required;
@@ -315,7 +315,7 @@
     trace.record_attempt("read", &engine.id, name, duration);
     trace.attempts += u32::from(!matches!(outcome, Outcome::NotSent(_) | Outcome::Closed(_)));
     match outcome {
-        Outcome::Answered(answered) => {
+        Outcome::Responded(answered) => {
             let success = answered.response.status().is_success();
             let id = read_handle(request, *answered).await.filter(|_| success)?;
             request.shared.record_prefill_time(
@@ -359,9 +359,9 @@
 /// Reads the handle from the response and keeps the connection for reuse.
 async fn read_handle(
     request: &RequestContext,
-    answered: attempt::Answered,
+    answered: attempt::Responded,
 ) -> Option<CompactString> {
-    let attempt::Answered { response, head, connection } = answered;
+    let attempt::Responded { response, head, connection } = answered;
     let body =
         tokio::time::timeout_at(request.response_deadline(), response.into_body().collect()).await;
     let body = match body {
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -49,7 +49,7 @@
                 let booking = dispatch::begin(&engine, Some(engine.engine.begin_stream()));
                 let outcome = resume(&request, &engine, last_event_id).await;
                 match outcome {
-                    Outcome::Answered(answered) if answered.response.status().is_success() => {
+                    Outcome::Responded(answered) if answered.response.status().is_success() => {
                         return Some(Source { answered, booking });
                     }
                     Outcome::Closed(_) => tried.push(engine),
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -138,7 +138,7 @@
         groups::group_of(&groups, target).into_iter().flat_map(|group| &group.coordinators);
     for coordinator in coordinators {
         match coordinator.address {
-            Some(address) => shared.post.send(Payload::TargetLimit(limit), address),
+            Some(address) => shared.peer_socket.send(Payload::TargetLimit(limit), address),
             None => coordination::observe_limit(shared, &limit),
         }
     }
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -29,7 +29,7 @@
         if outcome.may_have_run() {
             request.count_usage(began);
         }
-        if let Outcome::Answered(answered) = outcome {
+        if let Outcome::Responded(answered) = outcome {
             last = Some(Source { answered, booking });
         }
         if !retry {
--- a/crates/direct/src/request/prefill_placement.rs
+++ b/crates/direct/src/request/prefill_placement.rs
@@ -187,7 +187,7 @@
         let prefix_hash = Some(self.requirements.prefix_hash);
         let reservation = Reservation::new(shared, &engine, id, *coordinator, prefix_hash);
         let fetch_from = find(granted.copy_from);
-        let Granted { tokens, waiting: queued_tokens, permit, .. } = *granted;
+        let Granted { tokens, queued_tokens, permit, .. } = *granted;
         let permit = Permit::from_grant(permit);
         Some(ReservedEngine { engine, fetch_from, tokens, queued_tokens, permit, reservation })
     }
--- a/crates/direct/src/request/relay.rs
+++ b/crates/direct/src/request/relay.rs
@@ -4,7 +4,7 @@
 use crate::request::events::EventBuffer;
 use crate::request::reservation::Reservation;
 use crate::request::trace::{COMPLETE, Trace};
-use crate::targets::attempt::Answered;
+use crate::targets::attempt::Responded;
 use crate::targets::engine::{PrefillGuard, StreamGuard};
 use crate::targets::pool::Connection;
 use crate::targets::target::{Health, InFlightRequest, Target};
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 pub struct Source {
     /// The response.
-    pub answered: Box<Answered>,
+    pub answered: Box<Responded>,
     /// What is booked for it.
     pub booking: Booking,
 }
@@ -239,7 +239,7 @@
 impl ActiveResponse {
     fn new(source: Source) -> Self {
         let Source { answered, booking } = source;
-        let Answered { response, head, connection } = *answered;
+        let Responded { response, head, connection } = *answered;
         let body = response.into_body();
         Self { body, connection, keep_alive: head.keep_alive, booking }
     }
--- a/crates/direct/src/request/reservation.rs
+++ b/crates/direct/src/request/reservation.rs
@@ -145,13 +145,13 @@
 pub fn group_order(all: &[Group], prefix_hash: Hash) -> Vec<usize> {
     let keys: Vec<Hash> = all.iter().map(|group| group.key).collect();
     let mut order = groups::order(&keys, prefix_hash);
-    order.truncate(groups::Settings::default().asked);
+    order.truncate(groups::Settings::default().max_asked_groups);
     order
 }
 
 fn send_report(shared: &Shared, coordinator: &Member, report: Report) {
     match coordinator.address {
-        Some(address) => shared.post.send(Payload::Report(report), address),
+        Some(address) => shared.peer_socket.send(Payload::Report(report), address),
         None => coordination::apply_report(shared, &report),
     }
 }
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -36,7 +36,7 @@
     /// Its failure domain.
     pub domain: CompactString,
     /// The budget for extra attempts.
-    pub extras: extra_budget::Settings,
+    pub extra_budget: extra_budget::Settings,
     /// How prompts are placed on engines.
     pub prompts: prefill::Settings,
     /// This process's network link.
@@ -106,13 +106,13 @@
     /// What customers have used.
     pub usage: Usage,
     /// Datagrams about single prompts.
-    pub post: PeerSocket,
+    pub peer_socket: PeerSocket,
     /// The demand on engines, and the rates they achieve.
     pub loads: Loads,
     /// Which entries read the log, and how far they have read it.
     pub tail: Tail,
     /// Notified when the entries' stream is to be read at once.
-    pub notices: Notify,
+    pub entry_stream_changed: Notify,
     /// This entry's work on engines.
     pub workload: Arc<Workload>,
     fleet: Mutex<Fleet>,
@@ -157,10 +157,10 @@
             peers: Peers::default(),
             coordinator: Coordinator::default(),
             usage: Usage::default(),
-            post: PeerSocket::new(first),
+            peer_socket: PeerSocket::new(first),
             loads: Loads::default(),
             tail: Tail::default(),
-            notices: Notify::new(),
+            entry_stream_changed: Notify::new(),
             workload: workload.clone(),
             fleet: Mutex::new(Fleet::new(workload)),
             groups: groups::Cache::default(),
@@ -206,7 +206,7 @@
     }
 
     /// Records a read, and informs the other entries at once if it brought changes.
-    pub fn note_read(&self, topic: Topic, change_end: Offset) {
+    pub fn record_read(&self, topic: Topic, change_end: Offset) {
         if self.tail.record_read(topic, change_end, Instant::now()) {
             self.workload.notify_changed();
         }
@@ -386,7 +386,7 @@
         act: impl FnOnce(&mut extra_budget::ExtraBudget, policy::Time) -> T,
     ) -> T {
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let new = || extra_budget::ExtraBudget::new(self.settings.extras.clone());
+        let new = || extra_budget::ExtraBudget::new(self.settings.extra_budget.clone());
         let window = windows.entry(service.into()).or_insert_with(new);
         act(window, self.started.elapsed())
     }
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub enum Outcome {
     /// The target responded, possibly with an error of its own.
-    Answered(Box<Answered>),
+    Responded(Box<Responded>),
     /// The target reported that it did not and will not run the request.
     NotRun(StatusCode),
     /// Nothing reached the target.
@@ -35,8 +35,8 @@
     /// The name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Answered(answered) if answered.response.status().is_success() => "ok",
-            Self::Answered(_) => "failed",
+            Self::Responded(answered) if answered.response.status().is_success() => "ok",
+            Self::Responded(_) => "failed",
             Self::NotRun(_) => "refused",
             Self::NotSent(_) => "not-sent",
             Self::Unknown(_) => "unknown",
@@ -50,7 +50,7 @@
     /// Whether the target ran the request, or may have.
     pub fn may_have_run(&self) -> bool {
         match self {
-            Self::Answered(_) | Self::Unknown(_) | Self::TimedOut => true,
+            Self::Responded(_) | Self::Unknown(_) | Self::TimedOut => true,
             Self::NotRun(_) | Self::NotSent(_) | Self::Closed(_) => false,
         }
     }
@@ -58,7 +58,7 @@
 
 /// A target's response, whose body is still to be read.
 #[derive(Debug)]
-pub struct Answered {
+pub struct Responded {
     /// The head, and the body as a stream.
     pub response: Response<Incoming>,
     /// The decoded head.
@@ -249,7 +249,7 @@
     }
     let health = if status.is_server_error() { Health::Failing } else { Health::Healthy };
     target.record_health(health, now);
-    Outcome::Answered(Box::new(Answered { response, head: response_head, connection }))
+    Outcome::Responded(Box::new(Responded { response, head: response_head, connection }))
 }
 
 /// The largest body of a refusal, in bytes, that is read so that its connection can be reused.
--- a/crates/direct/src/targets/target.rs
+++ b/crates/direct/src/targets/target.rs
@@ -213,8 +213,8 @@
     }
 
     /// Records that it accepts no requests from some other entry until `until`.
-    pub fn note_pause_elsewhere(&self, until: Instant) {
-        self.state().intake.note_pause_elsewhere(self.time(until));
+    pub fn record_peer_pause(&self, until: Instant) {
+        self.state().intake.record_peer_pause(self.time(until));
     }
 
     /// Checks whether the target accepts requests, by its own responses.
--- a/crates/direct/src/targets/target/intake.rs
+++ b/crates/direct/src/targets/target/intake.rs
@@ -43,7 +43,7 @@
         changes
     }
 
-    pub(super) fn note_pause_elsewhere(&mut self, until: Time) {
+    pub(super) fn record_peer_pause(&mut self, until: Time) {
         self.paused_elsewhere = Some(until);
     }
 
--- a/crates/policy/src/binding.rs
+++ b/crates/policy/src/binding.rs
@@ -29,9 +29,9 @@
     /// Whether the request is bound to this target.
     pub bound: bool,
     /// Queue length at its other candidate; 0 if it has none.
-    pub elsewhere: usize,
+    pub other_queue: usize,
     /// Whether it is first in the queue of its other candidate.
-    pub first_elsewhere: bool,
+    pub first_in_other_queue: bool,
 }
 
 /// Where a request waits.
@@ -154,7 +154,7 @@
     fn next(&self, queue: &[Offer]) -> Option<usize> {
         let waiting = queue.len();
         let share = |(index, offer): (usize, &Offer)| {
-            waiting - (index + 1) < offer.elsewhere || !offer.first_elsewhere
+            waiting - (index + 1) < offer.other_queue || !offer.first_in_other_queue
         };
         let found = queue.iter().enumerate().position(share);
         found.or(if queue.is_empty() { None } else { Some(0) })
--- a/crates/policy/src/groups.rs
+++ b/crates/policy/src/groups.rs
@@ -23,15 +23,15 @@
     /// Maximum number of engines in a group. For each prompt, a coordinator compares this many
     /// engines, which takes about 20 microseconds, and 390 entries in front of 700 engines share 48
     /// groups.
-    pub engines: usize,
+    pub max_engines: usize,
     /// Maximum number of groups that are asked for one prompt. If a third of all groups has room,
     /// one of four asked has it four times in five. Each request takes one round trip.
-    pub asked: usize,
+    pub max_asked_groups: usize,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        Self { engines: 16, asked: 5 }
+        Self { max_engines: 16, max_asked_groups: 5 }
     }
 }
 
@@ -72,7 +72,7 @@
     }
     let mut groups: BTreeMap<Hash, Vec<usize>> = BTreeMap::new();
     for (domain, indexes) in domains {
-        let number = indexes.len().div_ceil(settings.engines.max(1)).max(1);
+        let number = indexes.len().div_ceil(settings.max_engines.max(1)).max(1);
         let number = u64::try_from(number).unwrap_or(1);
         for index in indexes {
             // An engine that no longer fits changes only the groups of its own domain.
--- a/crates/policy/src/prefill.rs
+++ b/crates/policy/src/prefill.rs
@@ -104,7 +104,7 @@
     /// It is prefilled by the engine with this index.
     Prefill {
         /// The index of the engine.
-        at: usize,
+        engine: usize,
         /// The index of the engine from which it first copies the shared prefix.
         copy_from: Option<usize>,
         /// Tokens to prefill.
@@ -162,7 +162,7 @@
             copy_from.map_or(candidate.cached_tokens, |from| candidates[from].cached_tokens);
         let tokens = uncached(prompt, cached);
         if fits(settings, candidate, tokens, max) {
-            return Placement::Prefill { at, copy_from, tokens };
+            return Placement::Prefill { engine: at, copy_from, tokens };
         }
         soonest = soonest.min(wait(settings, candidate, 0));
     }
--- a/crates/policy/src/simulation/disaggregated/fleet.rs
+++ b/crates/policy/src/simulation/disaggregated/fleet.rs
@@ -273,7 +273,7 @@
         let candidates = self.prefill_candidates(entry, &request);
         match prefill::place(&self.options.prefill, &request.prompt(late), &candidates, 1) {
             Placement::Full(soonest) => self.refuse(request, soonest, left),
-            Placement::Prefill { at, copy_from, tokens } => {
+            Placement::Prefill { engine: at, copy_from, tokens } => {
                 self.queued_tokens[entry][at] += tokens;
                 self.sequence += 1;
                 let class_priority = u8::from(request.class == Class::Short);
--- a/crates/policy/src/simulation/late_binding.rs
+++ b/crates/policy/src/simulation/late_binding.rs
@@ -218,7 +218,7 @@
         let [a, b] = self.requests[id].candidates;
         let other = &self.targets[if a == target { b } else { a }].queue;
         let bound = self.bound_to(id) == Some(target);
-        Offer { bound, elsewhere: other.len(), first_elsewhere: other.front() == Some(&id) }
+        Offer { bound, other_queue: other.len(), first_in_other_queue: other.front() == Some(&id) }
     }
 
     fn start(&mut self, id: usize, target: usize, at: f64) {
--- a/crates/policy/tests/prefill.rs
+++ b/crates/policy/tests/prefill.rs
@@ -25,7 +25,7 @@
 
 fn at(place: Placement) -> Option<usize> {
     match place {
-        Placement::Prefill { at, .. } => Some(at),
+        Placement::Prefill { engine: at, .. } => Some(at),
         Placement::Full(_) => None,
     }
 }
@@ -55,7 +55,7 @@
     candidates[home].cached_tokens = 6_000;
     let next = place(&settings, &prompt(5), &candidates, ENTRIES);
     let at = at(next).filter(|at| *at != home).expect("another engine has room");
-    assert_eq!(next, Placement::Prefill { at, copy_from: Some(home), tokens: 3_000 });
+    assert_eq!(next, Placement::Prefill { engine: at, copy_from: Some(home), tokens: 3_000 });
 }
 
 /// Decode engines got the parts of a prompt with its KV cache, and the home has evicted them for
@@ -70,7 +70,7 @@
         candidates[source].cached_tokens = 6_000;
     }
     candidates[home].cached_tokens = 2_500;
-    let Placement::Prefill { at, copy_from: Some(from), tokens } =
+    let Placement::Prefill { engine: at, copy_from: Some(from), tokens } =
         place(&settings, &prompt(5), &candidates, ENTRIES)
     else {
         panic!("the prefix was not copied");
@@ -78,7 +78,7 @@
     assert_eq!((at, tokens, candidates[from].domain), (home, 3_000, candidates[home].domain));
     candidates[home].cached_tokens = 5_900;
     let place = place(&settings, &prompt(5), &candidates, ENTRIES);
-    assert_eq!(place, Placement::Prefill { at: home, copy_from: None, tokens: 3_100 });
+    assert_eq!(place, Placement::Prefill { engine: home, copy_from: None, tokens: 3_100 });
 }
 
 /// In a burst, refused requests are retried when their objective has passed. If they were treated
@@ -125,7 +125,7 @@
     let home = at(place(&settings, &prompt(5), &candidates, ENTRIES)).unwrap();
     candidates[home].cached_tokens = 6_000;
     candidates[home].transfer_excess = Duration::from_millis(90);
-    let Placement::Prefill { at, copy_from, .. } =
+    let Placement::Prefill { engine: at, copy_from, .. } =
         place(&settings, &prompt(5), &candidates, ENTRIES)
     else {
         panic!("another engine has room");
@@ -238,7 +238,10 @@
     let request = |tokens| Prompt { tokens, ..prompt(3) };
     let is_placed = |tokens, slot_usage| {
         let engines = [engine(1, false, 90_000, 0.0), engine(2, true, 0, slot_usage)];
-        matches!(place(&settings, &request(tokens), &engines, 1), Placement::Prefill { at: 1, .. })
+        matches!(
+            place(&settings, &request(tokens), &engines, 1),
+            Placement::Prefill { engine: 1, .. }
+        )
     };
     // It prefills half as fast as a prefill engine: 7,500 tokens in 50 ms.
     assert!(is_placed(7_000, 0.5), "it takes less than the pause");
