--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -1,5 +1,5 @@
-//! What entries know of each other and of the log, and the messages between them. No task runs
-//! here, and nothing here depends on the state of the whole entry.
+//! The observed state of the other entries and of the log, and the messages between entries. No task
+//! runs here, and nothing here depends on [`crate::shared`].
 
 pub mod clock;
 pub mod coordinator;
--- a/crates/direct/src/daemon.rs
+++ b/crates/direct/src/daemon.rs
@@ -175,7 +175,8 @@
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    log::info!(target: "process", cut = server.open_connections(), ms = began.elapsed().as_millis(); "stopped");
+    log::info!(target: "process", cut = server.open_connections(),
+        ms = began.elapsed().as_millis(); "stopped");
 }
 
 fn ready_page(shared: Arc<Shared>, stop: CancellationToken) -> probe::Page {
--- a/crates/direct/src/duty.rs
+++ b/crates/direct/src/duty.rs
@@ -1,5 +1,5 @@
-//! Tasks that one entry performs for all: it splits engines between prefill and decode and orders
-//! them, bills usage, and asks engines what they have cached.
+//! Tasks that one entry performs for all: it decides which engines prefill and which decode and
+//! sends them orders, bills usage, and fetches from engines what they have cached.
 
 pub mod billing;
 pub mod cache_inventory;
--- a/crates/direct/src/exchange.rs
+++ b/crates/direct/src/exchange.rs
@@ -1,5 +1,5 @@
 //! Keeps entries in sync: reads the log and forwards the records, publishes and receives the state
-//! of the entries, and responses requests as a coordinator.
+//! of the entries, and responds to requests as a coordinator.
 
 pub mod broadcast;
 pub mod coordination;
--- a/crates/direct/src/exchange/coordination/prefill.rs
+++ b/crates/direct/src/exchange/coordination/prefill.rs
@@ -158,7 +158,7 @@
             objective: Duration::from_millis(self.request.objective_ms.into()),
             late: self.request.late,
         };
-        let settings = self.shared.prompts(&self.service.name);
+        let settings = self.shared.prefill_settings(&self.service.name);
         (prefill::place_among(&settings, &prompt, &engines, candidates.len(), 1), engines)
     }
 
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -7,7 +7,8 @@
 //!   deployment's adapter implements [`codec::Codec`], and [`exchange::follow::Decode`] for
 //!   records.
 //! - [`targets`]: this entry's view of the targets, and single attempts to send to one of them.
-//! - [`cluster`]: what entries know of each other and of the log, and the messages between them.
+//! - [`cluster`]: the observed state of the other entries and of the log, and the messages between
+//!   entries.
 //! - [`shared`]: the state of one entry.
 //! - [`exchange`]: the tasks that keep entries in sync.
 //! - [`duty`]: the tasks that one entry performs for all.
--- a/crates/direct/src/request.rs
+++ b/crates/direct/src/request.rs
@@ -1,5 +1,6 @@
-//! The handling of a request: `server`, `serve`, `plain` or `generate`, `dispatch`, `relay`,
-//! `response`. A `context` holds the state that all steps share.
+//! The handling of a request: `server` reads it, `serve` routes it, `plain` or `generate` chooses
+//! targets, `dispatch` sends it, and the response is forwarded by `relay` or made by `response`. A
+//! `context` holds the state that all steps share.
 
 pub mod attempts;
 pub mod context;
--- a/crates/direct/src/request/attempts.rs
+++ b/crates/direct/src/request/attempts.rs
@@ -1,5 +1,5 @@
 //! The attempts of one request: which targets were tried, whether another attempt is allowed, and
-//! the response to the caller when none was answered.
+//! the response to the caller when no target has responded.
 
 use crate::request::context::{RequestContext, TARGET_RETRY_AFTER};
 use crate::request::permits;
@@ -44,7 +44,7 @@
             return None;
         }
         let target = choose(&self.targets)?;
-        if self.sent > 0 && !request.shared.try_book_extra(&request.service.name) {
+        if self.sent > 0 && !request.shared.try_spend_extra(&request.service.name) {
             return None;
         }
         self.targets.push(target.clone());
@@ -72,9 +72,9 @@
         self.sent += 1;
         match outcome {
             Outcome::NotSent(_) | Outcome::NotRun(_) | Outcome::Closed(_) => true,
-            Outcome::Responded(answered) => {
+            Outcome::Responded(responded) => {
                 self.may_have_run = true;
-                answered.response.status().is_server_error() && request.may_retry()
+                responded.response.status().is_server_error() && request.may_retry()
             }
             Outcome::Unknown(_) => {
                 self.may_have_run = true;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Responds to the caller that no target has answered, and whether the request may have run.
+    /// Responds to the caller that no target has responded, and whether the request may have run.
     pub fn give_up(&self, request: &RequestContext, trace: &mut Trace) -> Response<Body> {
         trace.attempts += self.sent;
         if self.may_have_run {
--- a/crates/direct/src/request/coordinator_client.rs
+++ b/crates/direct/src/request/coordinator_client.rs
@@ -1,9 +1,9 @@
 //! Requests to the coordinators of a group.
 //!
 //! **What can go wrong.** A coordinator is killed, frozen, slow, cut off or new. It then sends no
-//! response, or a late one: after [`TIMEOUT_SHARE`] of the objective the standby coordinator is
-//! asked, and the unresponsive one is skipped for [`UNRESPONSIVE_FOR`]. A grant that arrives when
-//! nobody waits for it any more is released, see [`crate::cluster::peers`].
+//! response, or a late one: after `TIMEOUT_SHARE` of the objective the standby coordinator is
+//! asked, and the unresponsive one is skipped for `UNRESPONSIVE_FOR`. A grant that arrives when no
+//! request waits for it any more is released, see [`crate::exchange::gossip`].
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
@@ -16,14 +16,14 @@
 use tokio::time::{Instant, timeout};
 
 /// A coordinator that did not respond is skipped for this long: a frozen one recovers after
-/// seconds, and each request to it costs a caller the time-out.
+/// seconds, and each request to it costs a caller the timeout.
 const UNRESPONSIVE_FOR: Duration = Duration::from_millis(500);
 
 /// The share of the objective that a coordinator may take to respond. The round trip takes a few
 /// milliseconds.
 const TIMEOUT_SHARE: f64 = 0.1;
 
-/// The shortest time-out: a small VM responds within this time while it is busy.
+/// The shortest timeout: a small VM responds within this time while it is busy.
 const MIN_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// Asks the coordinators of a group, one after the other, until one sends a usable response.
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -1,9 +1,9 @@
-//! One attempt of a request: its permit, its booking, sending it, and forwarding the response.
+//! One attempt of a request: its permit, what it counts as at the target, sending it, and forwarding the response.
 
 use crate::codec::AttemptHead;
 use crate::request::context::RequestContext;
 use crate::request::permits::{self, Permit};
-use crate::request::relay::{Booking, Relay, Resume, Source};
+use crate::request::relay::{ActiveAttempt, Relay, Resume, Source};
 use crate::request::response::Body;
 use crate::request::trace::Trace;
 use crate::targets::attempt::{self, Outcome};
@@ -27,7 +27,7 @@
     let sent_at = Instant::now();
     // Generations have reserved the link before.
     if request.head.prompt.is_none() {
-        request.shared.book_bytes(request.buffered.body.len());
+        request.shared.record_bytes_sent(request.buffered.body.len());
     }
     let bounds = attempt::Bounds {
         max_connections: request.shared.connections(&request.service),
@@ -36,8 +36,8 @@
     };
     let outcome =
         attempt::send(&*request.shared.codec, target, &request.buffered, head, &bounds).await;
-    if let Outcome::Responded(answered) = &outcome
-        && let Some(duration) = answered.connection.connect_time
+    if let Outcome::Responded(responded) = &outcome
+        && let Some(duration) = responded.connection.connect_time
     {
         request.shared.record_connect_time(target, duration);
     }
@@ -55,15 +55,15 @@
     trace: Trace,
 ) -> Response<Body> {
     let mut response = Response::new(());
-    *response.status_mut() = source.answered.response.status();
-    *response.headers_mut() = source.answered.response.headers().clone();
+    *response.status_mut() = source.responded.response.status();
+    *response.headers_mut() = source.responded.response.headers().clone();
     request.shared.codec.strip_connection_headers(response.headers_mut());
     let relay = Relay::new(source, request.deadline, resume, trace);
     response.map(|()| Body::Relay(Box::new(relay)))
 }
 
-/// Books a request at a target for as long as the booking lives.
-pub fn begin(target: &Arc<Target>, stream: Option<StreamGuard>) -> Booking {
+/// Counts an attempt at a target until the returned value is dropped.
+pub fn begin(target: &Arc<Target>, stream: Option<StreamGuard>) -> ActiveAttempt {
     let in_flight = target.begin_request();
-    Booking { target: target.clone(), in_flight, prefill: None, stream, reservation: None }
+    ActiveAttempt { target: target.clone(), in_flight, prefill: None, stream, reservation: None }
 }
--- a/crates/direct/src/request/generate.rs
+++ b/crates/direct/src/request/generate.rs
@@ -1,4 +1,4 @@
-//! Generations: one engine prefills the prompt and hands the KV cache over to another that decodes.
+//! Generations: one engine prefills the prompt, and another one takes its KV cache and decodes.
 
 mod cache;
 mod decode_step;
--- a/crates/direct/src/request/generate/decode_step.rs
+++ b/crates/direct/src/request/generate/decode_step.rs
@@ -10,7 +10,7 @@
 use crate::request::decode_placement;
 use crate::request::dispatch;
 use crate::request::permits::Permit;
-use crate::request::relay::{Booking, Source};
+use crate::request::relay::{ActiveAttempt, Source};
 use crate::request::reservation::{self, Reservation};
 use crate::request::response::Body;
 use crate::request::trace::Trace;
@@ -31,15 +31,15 @@
     let mut step =
         DecodeStep { request, prompt, prompt_state, trace, attempts: Attempts::default() };
     while let Some(ChosenEngine { engine, permit, reservation }) = step.next_engine().await {
-        let (head, mut booking) = step.prepare(&engine);
-        booking.reservation = reservation;
+        let (head, mut attempt) = step.prepare(&engine);
+        attempt.reservation = reservation;
         let began = Instant::now();
         let outcome = dispatch::send(&step.request, &engine, &head, permit).await;
         step.trace.record_attempt("write", &engine.id, outcome.name(), began.elapsed());
         step.record_transfer_time(&engine, &outcome, began.elapsed());
         let retry = step.attempts.record(&step.request, &engine, &outcome);
         match outcome {
-            Outcome::Responded(answered) => return step.forward(answered, booking),
+            Outcome::Responded(responded) => return step.forward(responded, attempt),
             // The engine may have taken the KV cache.
             Outcome::Unknown(_) => step.prompt_state = PromptState::AnyEngine,
             Outcome::NotRun(_) | Outcome::NotSent(_) | Outcome::TimedOut | Outcome::Closed(_) => {}
@@ -110,8 +110,8 @@
         placement.filter(|placement| placement.engine.check_open(Instant::now()).is_ok())
     }
 
-    fn prepare(&self, engine: &Arc<Target>) -> (AttemptHead, Booking) {
-        let mut booking = dispatch::begin(engine, Some(engine.engine.begin_stream()));
+    fn prepare(&self, engine: &Arc<Target>) -> (AttemptHead, ActiveAttempt) {
+        let mut attempt = dispatch::begin(engine, Some(engine.engine.begin_stream()));
         let mut head = self.request.attempt_head(engine);
         match &self.prompt_state {
             PromptState::Cached(cache) => {
@@ -121,14 +121,14 @@
             }
             PromptState::Engine(placement) => {
                 head.fetch_from = placement.fetch_from.as_ref().map(|engine| engine.address);
-                booking.prefill = Some(engine.engine.begin_prefill(placement.tokens));
+                attempt.prefill = Some(engine.engine.begin_prefill(placement.tokens));
             }
             PromptState::AnyEngine => {
-                booking.prefill =
+                attempt.prefill =
                     Some(engine.engine.begin_prefill(u64::from(self.prompt.input_tokens)));
             }
         }
-        (head, booking)
+        (head, attempt)
     }
 
     /// Records for both ends how long the transfer of the KV cache took. An engine that refuses it
@@ -156,7 +156,7 @@
         reservation::publish_transfer(&self.request.shared, cache.holder(), destination, duration);
     }
 
-    fn forward(mut self, answered: Box<Responded>, booking: Booking) -> Response<Body> {
+    fn forward(mut self, responded: Box<Responded>, attempt: ActiveAttempt) -> Response<Body> {
         if let PromptState::Cached(cache) = &mut self.prompt_state {
             cache.mark_taken();
         }
@@ -165,14 +165,14 @@
             PromptState::Engine(placement) => placement.reservation.take(),
             PromptState::Cached(_) | PromptState::AnyEngine => None,
         };
-        record_prefill(&self.request, &self.prompt, &booking.target, reservation);
-        let success = answered.response.status().is_success();
+        record_prefill(&self.request, &self.prompt, &attempt.target, reservation);
+        let success = responded.response.status().is_success();
         if success {
             // Engines send the head of their response with the first token.
             self.request.count_usage(Instant::now());
         }
         let resumable = success && self.request.route.retry_policy == RetryPolicy::Resumable;
         let resume = resumable.then(|| StreamResumer::boxed(&self.request, self.attempts.sent));
-        dispatch::forward(&self.request, Source { answered, booking }, resume, self.trace)
+        dispatch::forward(&self.request, Source { responded, attempt }, resume, self.trace)
     }
 }
--- a/crates/direct/src/request/generate/prefill_step.rs
+++ b/crates/direct/src/request/generate/prefill_step.rs
@@ -125,7 +125,7 @@
                 return PrefillResult::Ready(PromptState::AnyEngine);
             }
             Choice::Full { retry_after: earliest, .. } => {
-                let settings = request.shared.prompts(&request.service.name);
+                let settings = request.shared.prefill_settings(&request.service.name);
                 let random = request.shared.random();
                 let retry_after =
                     prefill::retry_after(&settings, earliest, request.time_left(), random);
@@ -140,7 +140,7 @@
         if placement.engine.check_open(Instant::now()).is_err() {
             continue;
         }
-        if trace.attempts > 0 && !request.shared.try_book_extra(&request.service.name) {
+        if trace.attempts > 0 && !request.shared.try_spend_extra(&request.service.name) {
             return PrefillResult::Refused(Refusal::TargetRefused, TARGET_RETRY_AFTER);
         }
         if let Some(cache) = attempt_prefill(request, prompt, placement, trace).await {
@@ -171,7 +171,7 @@
     }
 }
 
-/// Chooses an engine, by asking the coordinators or, where none answers, by what this entry knows.
+/// Chooses an engine, by asking the coordinators or, where none responds, by this entry's own view.
 async fn find(
     request: &Arc<RequestContext>,
     prompt: &Prompt,
@@ -207,7 +207,7 @@
     }
 }
 
-/// Chooses an engine by what this entry knows, including the load reported by the others.
+/// Chooses an engine by this entry's own view, including the load reported by the others.
 fn choose_locally(
     request: &RequestContext,
     prompt: &Prompt,
@@ -218,7 +218,7 @@
     let engines = candidates(request, engines, tried);
     let candidates: Vec<PrefillCandidate> =
         engines.iter().map(|engine| candidate(request, engine, prompt)).collect();
-    let settings = request.shared.prompts(&request.service.name);
+    let settings = request.shared.prefill_settings(&request.service.name);
     match prefill::place(&settings, requirements, &candidates, request.shared.load_scale()) {
         prefill::Placement::Full(retry_after) => {
             let cached_tokens = candidates
@@ -298,7 +298,7 @@
     let _in_flight = engine.begin_request();
     let _prefill = engine.engine.begin_prefill(tokens);
     let fetch_address = fetch_from.map(|engine| engine.address);
-    let settings = &request.shared.settings.prompts;
+    let settings = &request.shared.settings.prefill;
     let prefill_priority = Some(prefill::priority(settings, tokens, request.priority()));
     let cached_tokens = u64::from(prompt.input_tokens).saturating_sub(tokens);
     request.shared.metrics.prompt_tokens(tokens, cached_tokens);
@@ -315,9 +315,9 @@
     trace.record_attempt("read", &engine.id, name, duration);
     trace.attempts += u32::from(!matches!(outcome, Outcome::NotSent(_) | Outcome::Closed(_)));
     match outcome {
-        Outcome::Responded(answered) => {
-            let success = answered.response.status().is_success();
-            let id = read_handle(request, *answered).await.filter(|_| success)?;
+        Outcome::Responded(responded) => {
+            let success = responded.response.status().is_success();
+            let id = read_handle(request, *responded).await.filter(|_| success)?;
             request.shared.record_prefill_time(
                 &request.service.name,
                 queued_tokens + tokens,
@@ -327,7 +327,7 @@
             let handle = KvHandle { holder: engine.address, id };
             return Some(HeldCache::new(request, engine, handle));
         }
-        Outcome::NotRun(_) => request.shared.book_extra(&request.service.name),
+        Outcome::NotRun(_) => request.shared.record_extra(&request.service.name),
         Outcome::TimedOut | Outcome::Closed(_) => {}
         Outcome::NotSent(_) => fail_reservation(reservation),
         Outcome::Unknown(_) => {
@@ -359,9 +359,9 @@
 /// Reads the handle from the response and keeps the connection for reuse.
 async fn read_handle(
     request: &RequestContext,
-    answered: attempt::Responded,
+    responded: attempt::Responded,
 ) -> Option<CompactString> {
-    let attempt::Responded { response, head, connection } = answered;
+    let attempt::Responded { response, head, connection } = responded;
     let body =
         tokio::time::timeout_at(request.response_deadline(), response.into_body().collect()).await;
     let body = match body {
--- a/crates/direct/src/request/generate/resume.rs
+++ b/crates/direct/src/request/generate/resume.rs
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Engines asked to resume one stream; all but the last of them accept no requests now.
+/// The maximum number of engines that are asked to resume one stream. The next one is asked only if
+/// the one before it accepts no requests now.
 const MAX_ENGINES: usize = 3;
 
 /// Resumes a broken stream at another engine.
@@ -40,17 +41,17 @@
         let allowed = self.attempts < request.route.max_attempts;
         Box::pin(async move {
             request.suspect_if_crashed(&failed);
-            if !allowed || !request.shared.try_book_extra(&request.service.name) {
+            if !allowed || !request.shared.try_spend_extra(&request.service.name) {
                 return None;
             }
             let mut tried = vec![failed.clone()];
             while tried.len() <= MAX_ENGINES {
                 let engine = choose_decode_engine(&request, &tried, &failed.domain)?;
-                let booking = dispatch::begin(&engine, Some(engine.engine.begin_stream()));
+                let attempt = dispatch::begin(&engine, Some(engine.engine.begin_stream()));
                 let outcome = resume(&request, &engine, last_event_id).await;
                 match outcome {
-                    Outcome::Responded(answered) if answered.response.status().is_success() => {
-                        return Some(Source { answered, booking });
+                    Outcome::Responded(responded) if responded.response.status().is_success() => {
+                        return Some(Source { responded, attempt });
                     }
                     Outcome::Closed(_) => tried.push(engine),
                     _ => return None,
@@ -65,14 +66,14 @@
 async fn resume(
     request: &RequestContext,
     engine: &Arc<Target>,
-    after_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Outcome {
-    let head = AttemptHead { last_event_id: after_event, ..request.attempt_head(engine) };
+    let head = AttemptHead { last_event_id, ..request.attempt_head(engine) };
     let began = Instant::now();
     let outcome = dispatch::send(request, engine, &head, Permit::Required).await;
     let outcome_name = outcome.name();
     request.shared.metrics.attempt("resume", &engine.id, outcome_name, began.elapsed());
     log::info!(target: "request", id = request.attempt_id(), target_id = engine.id.as_str(),
-        after:? = after_event, went = outcome_name; "stream resumed");
+        after:? = last_event_id, went = outcome_name; "stream resumed");
     outcome
 }
--- a/crates/direct/src/request/permits.rs
+++ b/crates/direct/src/request/permits.rs
@@ -43,7 +43,7 @@
 #[error("no permit to send to the target now")]
 pub struct NoPermit;
 
-/// For how long nothing is sent to a target after no coordinator answered.
+/// For how long nothing is sent to a target after no coordinator responded.
 const UNANSWERED_BACKOFF: Duration = Duration::from_millis(200);
 
 /// By how much the retries of entries and callers are spread, as a share of the time until then.
@@ -71,13 +71,13 @@
             limit,
         })
     };
-    let reply = match groups::group_of(&groups, target) {
+    let response = match groups::group_of(&groups, target) {
         Some(group) => {
             coordinator_client::call(request, group, request.route.objective, make).await
         }
         None => None,
     };
-    let (kind, retry_after) = match reply.and_then(|(response, _)| response.decision) {
+    let (kind, retry_after) = match response.and_then(|(response, _)| response.decision) {
         Some(Decision::Permitted(_)) => ("given", None),
         Some(Decision::Refused(refused)) => {
             ("refused", Some(Duration::from_micros(refused.retry_after_us)))
@@ -113,7 +113,7 @@
 
 /// `Retry-After` for a caller whose targets open in `soonest` at the earliest.
 pub fn retry_after(request: &RequestContext, soonest: Duration) -> Duration {
-    let (settings, random) = (&request.shared.settings.prompts, request.shared.random());
+    let (settings, random) = (&request.shared.settings.prefill, request.shared.random());
     let jittered = soonest.mul_f64(1.0 + random * RETRY_JITTER);
     // An earlier retry would be refused again, however long the caller waits.
     prefill::retry_after(settings, soonest, request.time_left(), random).max(jittered)
--- a/crates/direct/src/request/plain.rs
+++ b/crates/direct/src/request/plain.rs
@@ -19,7 +19,7 @@
     let mut last = None;
     while let Some(target) = attempts.next_target(&request, |tried| choose_target(&request, tried))
     {
-        let booking = dispatch::begin(&target, None);
+        let attempt = dispatch::begin(&target, None);
         let began = Instant::now();
         let outcome =
             dispatch::send(&request, &target, &request.attempt_head(&target), Permit::Required)
@@ -29,8 +29,8 @@
         if outcome.may_have_run() {
             request.count_usage(began);
         }
-        if let Outcome::Responded(answered) = outcome {
-            last = Some(Source { answered, booking });
+        if let Outcome::Responded(responded) = outcome {
+            last = Some(Source { responded, attempt });
         }
         if !retry {
             break;
--- a/crates/direct/src/request/prefill_placement.rs
+++ b/crates/direct/src/request/prefill_placement.rs
@@ -1,6 +1,6 @@
 //! Reserves an engine that can prefill a prompt in time, by asking the coordinators of groups in
-//! the order that all prompts with its prefix hash use. If nobody answers for a group, this entry
-//! decides by the load that the other entries reported, as it would without coordinators.
+//! the order that all prompts with its prefix hash use. If no coordinator of a group responds, this
+//! entry decides by the load that the other entries reported, as it would without coordinators.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::{Group, Member};
@@ -30,7 +30,7 @@
         /// Tokens of the prompt that some engine has cached.
         cached_tokens: u64,
     },
-    /// Nobody answered for these engines, and the groups that answered have no room.
+    /// No coordinator of these engines responded, and the groups that responded have no room.
     Unanswered(Vec<Arc<Target>>),
 }
 
@@ -72,16 +72,16 @@
     let order = group_order(&groups, requirements.prefix_hash);
     for (asked, &at) in order.iter().enumerate() {
         match search.ask_group(&groups[at], false).await {
-            GroupReply::Reserved(reserved) => return SearchResult::Reserved(reserved),
-            GroupReply::Full { decode_engine } => {
+            GroupResponse::Reserved(reserved) => return SearchResult::Reserved(reserved),
+            GroupResponse::Full { decode_engine } => {
                 if decode_engine {
                     decode_group.get_or_insert(at);
                 }
             }
-            // Neither of two coordinators answered: more likely this entry's own link is full or
+            // Neither of two coordinators responded: more likely this entry's own link is full or
             // cut than theirs. Waiting for those of each other group as well would cost the caller
             // half of the objective.
-            GroupReply::NoAnswer => {
+            GroupResponse::NoResponse => {
                 let rest = order[asked..].iter().flat_map(|&at| &groups[at].engines);
                 search.unanswered.extend(rest.cloned());
                 break;
@@ -90,7 +90,7 @@
     }
     // Decode engines are asked only where no prefill engine has room.
     if let Some(at) = decode_group
-        && let GroupReply::Reserved(reserved) = search.ask_group(&groups[at], true).await
+        && let GroupResponse::Reserved(reserved) = search.ask_group(&groups[at], true).await
     {
         return SearchResult::Reserved(reserved);
     }
@@ -107,39 +107,39 @@
     cached_prefix: Option<CachedPrefix>,
     /// When some group will have room.
     retry_after: Option<Duration>,
-    /// Engines of groups for which nobody answered.
+    /// Engines of groups of which no coordinator responded.
     unanswered: Vec<Arc<Target>>,
 }
 
 /// The result of asking the coordinators of one group.
-enum GroupReply {
+enum GroupResponse {
     Reserved(ReservedEngine),
     /// It has no room, except perhaps at a decode engine.
     Full {
         decode_engine: bool,
     },
-    NoAnswer,
+    NoResponse,
 }
 
 impl Search<'_> {
-    async fn ask_group(&mut self, group: &Group, use_decode_engines: bool) -> GroupReply {
+    async fn ask_group(&mut self, group: &Group, use_decode_engines: bool) -> GroupResponse {
         let make_payload =
             |id| Payload::PrefillRequest(self.prefill_request(group, use_decode_engines, id));
         let objective = self.requirements.objective;
         let Some((response, coordinator)) =
             coordinator_client::call(self.request, group, objective, make_payload).await
         else {
-            return GroupReply::NoAnswer;
+            return GroupResponse::NoResponse;
         };
         match response.decision {
             Some(Decision::Granted(granted)) => {
                 match self.accept_grant(&granted, response.reservation, &coordinator) {
-                    Some(reserved) => GroupReply::Reserved(reserved),
-                    None => GroupReply::NoAnswer,
+                    Some(reserved) => GroupResponse::Reserved(reserved),
+                    None => GroupResponse::NoResponse,
                 }
             }
             Some(Decision::Refused(refused)) => self.record_refusal(&refused),
-            Some(Decision::Permitted(_)) | None => GroupReply::NoAnswer,
+            Some(Decision::Permitted(_)) | None => GroupResponse::NoResponse,
         }
     }
 
@@ -192,7 +192,7 @@
         Some(ReservedEngine { engine, fetch_from, tokens, queued_tokens, permit, reservation })
     }
 
-    fn record_refusal(&mut self, refused: &Refused) -> GroupReply {
+    fn record_refusal(&mut self, refused: &Refused) -> GroupResponse {
         let delay = Duration::from_micros(refused.retry_after_us);
         self.retry_after =
             Some(self.retry_after.map_or(delay, |retry_after| retry_after.min(delay)));
@@ -200,7 +200,7 @@
         if tokens(refused.cached_prefix) > tokens(self.cached_prefix) {
             self.cached_prefix = refused.cached_prefix;
         }
-        GroupReply::Full { decode_engine: refused.decode_engine }
+        GroupResponse::Full { decode_engine: refused.decode_engine }
     }
 
     fn finish(self) -> SearchResult {
--- a/crates/direct/src/request/relay.rs
+++ b/crates/direct/src/request/relay.rs
@@ -28,9 +28,9 @@
 #[error("response aborted before its end: {0}")]
 pub struct Error(pub compact_str::CompactString);
 
-/// What is booked at a target while it works on a request.
+/// An attempt that a target works on. It counts there until this is dropped.
 #[derive(Debug)]
-pub struct Booking {
+pub struct ActiveAttempt {
     /// The target.
     pub target: Arc<Target>,
     /// The request in flight there.
@@ -43,18 +43,18 @@
     pub reservation: Option<Reservation>,
 }
 
-/// A target's response that is being received, with what is booked for it.
+/// A target's response that is being received, with the attempt that it belongs to.
 #[derive(Debug)]
 pub struct Source {
     /// The response.
-    pub answered: Box<Responded>,
-    /// What is booked for it.
-    pub booking: Booking,
+    pub responded: Box<Responded>,
+    /// The attempt.
+    pub attempt: ActiveAttempt,
 }
 
 /// Finds another target for the rest of a stream.
 pub trait Resume: Send {
-    /// Resumes the stream elsewhere after the event with this id; `None` if that is not possible.
+    /// Resumes the stream at another target after the event with this id; `None` if that is not possible.
     fn resume(
         &self,
         last_event_id: Option<u64>,
@@ -84,7 +84,7 @@
     body: Incoming,
     connection: Connection,
     keep_alive: Option<Duration>,
-    booking: Booking,
+    attempt: ActiveAttempt,
 }
 
 /// How long after its deadline the target's own failure response is waited for. That response is
@@ -119,7 +119,7 @@
         matches!(self.state, State::Done)
     }
 
-    /// What is known of the size of the whole body.
+    /// The size of the whole body, as far as the response announced it.
     pub fn size_hint(&self) -> SizeHint {
         self.size_hint
     }
@@ -175,8 +175,8 @@
     fn accept_frame(&mut self, frame: Frame<Bytes>) -> Option<Bytes> {
         let bytes = frame.into_data().ok()?;
         if let State::Streaming(active) = &mut self.state {
-            active.booking.prefill = None;
-            active.booking.target.record_activity(Instant::now());
+            active.attempt.prefill = None;
+            active.attempt.target.record_activity(Instant::now());
         }
         let bytes = match &mut self.events {
             Some(events) => events.push(&bytes),
@@ -212,7 +212,7 @@
         let State::Streaming(active) = std::mem::replace(&mut self.state, State::Done) else {
             return false;
         };
-        let target = active.booking.target.clone();
+        let target = active.attempt.target.clone();
         target.record_health(Health::Failing, Instant::now());
         self.trace.record_broken_response(&target.id, detail);
         let (Some(resume), Some(events)) = (&self.resume, &mut self.events) else { return false };
@@ -238,10 +238,10 @@
 
 impl ActiveResponse {
     fn new(source: Source) -> Self {
-        let Source { answered, booking } = source;
-        let Responded { response, head, connection } = *answered;
+        let Source { responded, attempt } = source;
+        let Responded { response, head, connection } = *responded;
         let body = response.into_body();
-        Self { body, connection, keep_alive: head.keep_alive, booking }
+        Self { body, connection, keep_alive: head.keep_alive, attempt }
     }
 }
 
--- a/crates/direct/src/request/serve.rs
+++ b/crates/direct/src/request/serve.rs
@@ -58,7 +58,7 @@
         trace.end(Refusal::Stopping.name());
         return response::refuse(Refusal::Stopping, OTHER_ENTRY_RETRY_AFTER);
     }
-    request.shared.book_request(&request.service.name);
+    request.shared.record_request(&request.service.name);
     if request.shared.suspects.is_blocked(request.fingerprint) {
         trace.end(Refusal::Quarantined.name());
         return response::refuse(Refusal::Quarantined, request.route.timeout);
--- a/crates/direct/src/request/trace.rs
+++ b/crates/direct/src/request/trace.rs
@@ -29,7 +29,7 @@
     /// The service of a generation, and how many tokens of output a piece holds.
     pub generation: Option<(ServiceName, u32)>,
     first_piece_at: Option<Instant>,
-    /// When the last piece was forwarded, once one was.
+    /// The times between pieces, and when the last piece was forwarded; none before the first one.
     piece_gaps: Option<(Histogram, Instant)>,
     ended: bool,
     shared: Arc<Shared>,
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -38,7 +38,7 @@
     /// The budget for extra attempts.
     pub extra_budget: extra_budget::Settings,
     /// How prompts are placed on engines.
-    pub prompts: prefill::Settings,
+    pub prefill: prefill::Settings,
     /// This process's network link.
     pub link: link::Settings,
     /// How engines are split between prefill and decode.
@@ -105,7 +105,7 @@
     pub coordinator: Coordinator,
     /// What customers have used.
     pub usage: Usage,
-    /// Datagrams about single prompts.
+    /// The socket for messages to the other entries.
     pub peer_socket: PeerSocket,
     /// The demand on engines, and the rates they achieve.
     pub loads: Loads,
@@ -121,7 +121,8 @@
     connect_timeouts: Mutex<connect_timeout::ConnectTimeouts>,
     /// Detects retries, by route.
     retry_detectors: Mutex<HashMap<RouteName, retry_detection::RetryDetector>>,
-    windows: Mutex<HashMap<CompactString, extra_budget::ExtraBudget>>,
+    /// The budgets of extra attempts, by service.
+    extra_budgets: Mutex<HashMap<CompactString, extra_budget::ExtraBudget>>,
     entries: AtomicU32,
     random: Mutex<ChaCha8Rng>,
     stop: OnceLock<Stop>,
@@ -145,8 +146,8 @@
     pub fn new(settings: Settings, codec: Arc<dyn Codec>, seed: u64) -> Self {
         let workload: Arc<Workload> = Arc::default();
         let link = Mutex::new(link::Link::new(settings.link.clone()));
-        let run = policy::hash(&format!("{} {:?}", std::process::id(), Instant::now()));
-        let first = policy::mix(policy::hash(&settings.name), run);
+        let incarnation = policy::hash(&format!("{} {:?}", std::process::id(), Instant::now()));
+        let first_id = policy::mix(policy::hash(&settings.name), incarnation);
         Self {
             settings,
             codec,
@@ -157,7 +158,7 @@
             peers: Peers::default(),
             coordinator: Coordinator::default(),
             usage: Usage::default(),
-            peer_socket: PeerSocket::new(first),
+            peer_socket: PeerSocket::new(first_id),
             loads: Loads::default(),
             tail: Tail::default(),
             entry_stream_changed: Notify::new(),
@@ -167,7 +168,7 @@
             link,
             connect_timeouts: Mutex::default(),
             retry_detectors: Mutex::default(),
-            windows: Mutex::default(),
+            extra_budgets: Mutex::default(),
             entries: AtomicU32::new(1),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(seed)),
             stop: OnceLock::new(),
@@ -196,7 +197,7 @@
         self.tail.age(Topic::Config, now).is_some_and(|age| age < max_age)
     }
 
-    /// Records an epoch of the log; `from` names where it was learned.
+    /// Records an epoch of the log; `from` names where it was observed.
     pub fn observe_epoch(&self, epoch: Epoch, from: &'static str) {
         let Some(new) = self.tail.observe_epoch(epoch, Instant::now()) else { return };
         if let Some(before) = new.before {
@@ -297,21 +298,17 @@
     }
 
     /// How prompts are placed on the engines of a service, with the prefill rate learned so far.
-    pub fn prompts(&self, service: &str) -> prefill::Settings {
-        let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prompts.prefill_rate);
-        let pause = self.table.borrow().as_ref().and_then(|table| table.max_gap(service));
-        let writer_pause = pause.unwrap_or_default() / GAP_DIVISOR;
-        prefill::Settings {
-            prefill_rate: rate,
-            decode_pause: writer_pause,
-            ..self.settings.prompts.clone()
-        }
+    pub fn prefill_settings(&self, service: &str) -> prefill::Settings {
+        let rate = self.loads.prefill_rate(service).unwrap_or(self.settings.prefill.prefill_rate);
+        let max_gap = self.table.borrow().as_ref().and_then(|table| table.max_gap(service));
+        let decode_pause = max_gap.unwrap_or_default() / GAP_DIVISOR;
+        prefill::Settings { prefill_rate: rate, decode_pause, ..self.settings.prefill.clone() }
     }
 
     /// Records the time that an engine of a service needed to prefill `tokens`: a prompt and what
     /// was queued before it.
     pub fn record_prefill_time(&self, service: &str, tokens: u64, duration: Duration) {
-        self.loads.record_prefill(service, self.settings.prompts.prefill_rate, tokens, duration);
+        self.loads.record_prefill(service, self.settings.prefill.prefill_rate, tokens, duration);
     }
 
     /// Whether this is a retry: the caller, who waits for `left` from now on, has already waited
@@ -352,7 +349,7 @@
     }
 
     /// Counts bytes that are sent to targets.
-    pub fn book_bytes(&self, bytes: usize) {
+    pub fn record_bytes_sent(&self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
         self.link().send(bytes, self.started.elapsed());
     }
@@ -362,32 +359,32 @@
     }
 
     /// Counts a request for `service`.
-    pub fn book_request(&self, service: &str) {
-        self.with_window(service, |window, now| window.record_request(now));
+    pub fn record_request(&self, service: &str) {
+        self.with_extra_budget(service, |budget, now| budget.record_request(now));
     }
 
     /// Counts an extra attempt that was already made.
-    pub fn book_extra(&self, service: &str) {
-        self.with_window(service, |window, now| window.record_extra(now));
+    pub fn record_extra(&self, service: &str) {
+        self.with_extra_budget(service, |budget, now| budget.record_extra(now));
     }
 
     /// Counts an extra attempt if the budget allows one, and returns whether it does.
     #[must_use]
-    pub fn try_book_extra(&self, service: &str) -> bool {
+    pub fn try_spend_extra(&self, service: &str) -> bool {
         let entries = self.entries();
-        let allowed = self.with_window(service, |window, now| window.try_spend(entries, now));
+        let allowed = self.with_extra_budget(service, |budget, now| budget.try_spend(entries, now));
         self.metrics.extra(allowed);
         allowed
     }
 
-    fn with_window<T>(
+    fn with_extra_budget<T>(
         &self,
         service: &str,
         act: impl FnOnce(&mut extra_budget::ExtraBudget, policy::Time) -> T,
     ) -> T {
-        let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut budgets = self.extra_budgets.lock().unwrap_or_else(PoisonError::into_inner);
         let new = || extra_budget::ExtraBudget::new(self.settings.extra_budget.clone());
-        let window = windows.entry(service.into()).or_insert_with(new);
-        act(window, self.started.elapsed())
+        let budget = budgets.entry(service.into()).or_insert_with(new);
+        act(budget, self.started.elapsed())
     }
 }
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -35,7 +35,7 @@
     /// The name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Responded(answered) if answered.response.status().is_success() => "ok",
+            Self::Responded(responded) if responded.response.status().is_success() => "ok",
             Self::Responded(_) => "failed",
             Self::NotRun(_) => "refused",
             Self::NotSent(_) => "not-sent",
