--- a/crates/direct/src/cluster.rs
+++ b/crates/direct/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The observed state of the other entries and of the log, and the messages between entries. No task
-//! runs here, and nothing here depends on [`crate::shared`].
+//! The observed state of the other entries and of the log, and the messages between entries. No
+//! task runs here, and nothing here depends on [`crate::shared`].
 
 pub mod clock;
 pub mod coordinator;
--- a/crates/direct/src/cluster/coordinator.rs
+++ b/crates/direct/src/cluster/coordinator.rs
@@ -32,7 +32,7 @@
 }
 
 /// For how long after the first request for a group an entry also considers the work that its peers
-/// report: it doesn't know yet what another coordinator has granted, and within this time the
+/// report: it has no record yet of what another coordinator has granted, and within this time the
 /// engines prefill what was queued before.
 const WARM_UP: Duration = Duration::from_millis(500);
 
--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -176,7 +176,7 @@
     /// The entry that sends the request.
     #[prost(message, optional, tag = "4")]
     pub requester: Option<Requester>,
-    /// The limit as far as the requester knows it.
+    /// The limit that the requester last observed, if any.
     #[prost(message, optional, tag = "5")]
     pub limit: Option<TargetLimit>,
 }
@@ -193,7 +193,7 @@
 }
 
 impl Requester {
-    /// The requester of a permit; a priority out of range becomes the least urgent.
+    /// Returns the requester of a permit; a priority out of range becomes the least urgent.
     pub fn to_pacing(&self) -> pacing::Requester {
         let priority = pacing::Priority::try_from(self.priority).unwrap_or(pacing::Priority::MAX);
         pacing::Requester { entry: self.entry, priority }
--- a/crates/direct/src/cluster/peers.rs
+++ b/crates/direct/src/cluster/peers.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// The maximum number of peers that receive one datagram. With more peers they take turns, except
-/// that designated readers of the log send to all of them. Coordinators know all reservations, so
+/// that designated readers of the log send to all of them. Coordinators record all reservations, so
 /// other state may be older: 16 datagrams each 300 ms are 12 KB per second, however many entries
 /// there are.
 const MAX_RECIPIENTS: usize = 16;
@@ -78,7 +78,7 @@
     }
 
     /// Returns the recipients of the next datagram: `all`, or those whose turn it is. Drops the
-    /// state of peers that have become silent.
+    /// state of peers that are no longer reachable.
     pub fn recipients(&self, all: bool, now: Instant) -> Vec<SocketAddr> {
         let mut inner = self.lock();
         inner.expire(now);
@@ -151,10 +151,10 @@
     fn expire(&mut self, now: Instant) {
         let rounds = self.addresses.len().div_ceil(MAX_RECIPIENTS).max(1);
         let ttl = STATE_TTL * u32::try_from(rounds).unwrap_or(u32::MAX);
-        let silent =
+        let unreachable =
             self.peers.iter().filter(|(_, peer)| now.duration_since(peer.received_at) > ttl);
-        let silent: Vec<u64> = silent.map(|(entry, _)| *entry).collect();
-        for entry in silent {
+        let unreachable: Vec<u64> = unreachable.map(|(entry, _)| *entry).collect();
+        for entry in unreachable {
             log::info!(target: "peers", entry; "entry silent");
             self.remove(entry);
         }
--- a/crates/direct/src/cluster/suspects.rs
+++ b/crates/direct/src/cluster/suspects.rs
@@ -95,8 +95,8 @@
 
 /// Returns the fingerprint of a request, which covers its path, its body and its customer, so that
 /// no customer can get another one's requests blocked.
-pub fn fingerprint(content: &BufferedRequest, customer: Option<&Arc<Customer>>) -> Fingerprint {
-    let path = xxhash_rust::xxh3::xxh3_64(content.path.to_string().as_bytes());
-    let request = policy::mix(path, xxhash_rust::xxh3::xxh3_64(&content.body));
+pub fn fingerprint(buffered: &BufferedRequest, customer: Option<&Arc<Customer>>) -> Fingerprint {
+    let path = xxhash_rust::xxh3::xxh3_64(buffered.path.to_string().as_bytes());
+    let request = policy::mix(path, xxhash_rust::xxh3::xxh3_64(&buffered.body));
     customer.map_or(request, |customer| policy::mix(request, policy::hash(&customer.name)))
 }
--- a/crates/direct/src/cluster/tail.rs
+++ b/crates/direct/src/cluster/tail.rs
@@ -1,12 +1,13 @@
 //! Decides which entries read the log, so that not every entry has to poll it.
 //!
 //! **Load pattern.** Each entry follows three streams that rarely change, and every call to the log
-//! is paid for. **Without it** the entries of a small system make 100 calls per second to observe
-//! one change every few seconds. **How.** A few designated readers, which all entries derive from
-//! the hashes of their names, read as often as changes have to be observed. Their datagrams carry
-//! the offset after the newest change and the age of their last read. The other entries read when
-//! there are new records; when no peer's last read is recent, so that the loss of all readers
-//! delays changes by a second instead of hiding them; and at a long interval in any case.
+//! is paid for. **Without this**, the entries of a small system make 100 calls per second to
+//! observe one change every few seconds. **Approach.** A few designated readers, which all entries
+//! derive from the hashes of their names, read as often as changes have to be observed. Their
+//! datagrams carry the offset after the newest change and the age of their last read. The other
+//! entries read when there are new records; when no peer's last read is recent, so that the loss of
+//! all readers delays changes by a second instead of hiding them; and at a long interval in any
+//! case.
 
 use compact_str::CompactString;
 use plat::epoch::{self, Epoch};
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Its name in metrics.
+    /// Returns the name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Config => "config",
@@ -64,7 +65,7 @@
 }
 
 impl ReadReason {
-    /// Its name in metrics.
+    /// Returns the name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::DesignatedReader => "for-all",
@@ -191,7 +192,7 @@
 }
 
 /// The delay between the reads of two entries after the log was restored: all of them have to read
-/// it, and if they did so at once they would make more calls than it answers in a second.
+/// it, and if they did so at once they would make more calls than it can serve in a second.
 const RESTORE_STAGGER: Duration = Duration::from_millis(5);
 
 impl Inner {
@@ -348,13 +349,13 @@
         }
     }
 
-    /// Removes what a silent entry has reported.
+    /// Removes what an unreachable entry has reported.
     pub fn forget(&self, entry: u64) {
         self.lock().peers.retain(|(other, _), _| *other != entry);
     }
 
-    /// Returns the age of this entry's knowledge of a stream: the time since the newest read by any
-    /// entry that found no more than this entry knows.
+    /// Returns the age of this entry's view of a stream: the time since the newest read by any
+    /// entry that found no more records than this entry has applied.
     pub fn age(&self, topic: Topic, now: Instant) -> Option<Duration> {
         let inner = self.lock();
         let (known, read_at) = *inner.own.get(&topic)?;
--- a/crates/direct/src/exchange/broadcast.rs
+++ b/crates/direct/src/exchange/broadcast.rs
@@ -1,11 +1,12 @@
 //! Forwards what was read in the log, so that not every entry has to read it.
 //!
 //! **Load pattern.** A change of one target, of the configuration or of the entries concerns all
-//! entries, and each call to the log is paid for. **Without it** every entry makes a call for each
-//! record. **How.** Designated readers send the records themselves to the other entries. An entry
-//! that has read up to the start of such a span applies it like a read of its own. An entry that
-//! lacks earlier records, or misses the datagram, reads the log as soon as it observes that there
-//! are new records, see [`crate::cluster::tail`]. No record is applied twice or out of order.
+//! entries, and each call to the log is paid for. **Without this**, every entry makes a call for
+//! each record. **Approach.** Designated readers send the records themselves to the other entries.
+//! An entry that has read up to the start of such a span applies it like a read of its own. An
+//! entry that lacks earlier records, or misses the datagram, reads the log as soon as it observes
+//! that there are new records, see [`crate::cluster::tail`]. No record is applied twice or out of
+//! order.
 
 use crate::cluster::messages::{ConfigRequest, LogRecord, LogRecords, Payload};
 use crate::cluster::tail::{RecordSpan, TOPICS, Topic};
--- a/crates/direct/src/exchange/coordination.rs
+++ b/crates/direct/src/exchange/coordination.rs
@@ -22,9 +22,9 @@
 
 pub use permits::observe_limit;
 
-/// An engine that has work counts as unavailable after a silence of this many times the objective
-/// for the first token.
-const SILENCE_FACTOR: u32 = 3;
+/// An engine that has work counts as unresponsive after this many times the objective for the first
+/// token without a response.
+const UNRESPONSIVE_FACTOR: u32 = 3;
 
 /// Responds to a request; `None` if the message is no request, or its group or service is unknown
 /// here.
@@ -53,7 +53,7 @@
 pub fn apply_report(shared: &Shared, report: &Report) {
     let engines = shared.fleet().engines();
     let engine = engines.iter().find(|engine| short_hash(engine.key) == report.engine);
-    // The engine is gone, or not yet listed here.
+    // The engine has been removed, or is not yet listed here.
     let Some(engine) = engine else { return };
     shared.coordinator.release(engine.key, report.reservation);
     if let Some(parts) = &report.cached {
--- a/crates/direct/src/exchange/coordination/decode.rs
+++ b/crates/direct/src/exchange/coordination/decode.rs
@@ -1,7 +1,7 @@
 //! Decides which engine of a group decodes a stream.
 
 use super::permits::share;
-use super::{SILENCE_FACTOR, service};
+use super::{UNRESPONSIVE_FACTOR, service};
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
 use crate::cluster::messages::{Decision, DecodeRequest, Granted, Refused, Response};
@@ -74,7 +74,7 @@
     let peers = shared.peers.load_at(engine.key).streams;
     let reported = if warming_up { engine.engine.streams() + peers } else { 0 };
     DecodeCandidate {
-        unavailable: engine.is_unavailable(objective * SILENCE_FACTOR, now),
+        unavailable: engine.is_unavailable(objective * UNRESPONSIVE_FACTOR, now),
         transfer_excess: engine.transfer_excess(TransferDirection::In, now),
         streams: granted.max(reported),
         slots: engine.slots,
--- a/crates/direct/src/exchange/coordination/permits.rs
+++ b/crates/direct/src/exchange/coordination/permits.rs
@@ -52,7 +52,7 @@
 
 /// Records the limit that a target named.
 pub fn observe_limit(shared: &Shared, limit: &TargetLimit) {
-    // The target is gone, or not yet listed here.
+    // The target has been removed, or is not yet listed here.
     let Some(target) = find(shared, limit.service, limit.target) else { return };
     let now = Instant::now();
     let ago = |ms: u32| now.checked_sub(Duration::from_millis(ms.into())).unwrap_or(now);
--- a/crates/direct/src/exchange/coordination/prefill.rs
+++ b/crates/direct/src/exchange/coordination/prefill.rs
@@ -1,7 +1,7 @@
 //! Decides which engine of a group prefills a prompt.
 
 use super::permits::share;
-use super::{SILENCE_FACTOR, service};
+use super::{UNRESPONSIVE_FACTOR, service};
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
 use crate::cluster::messages::{
@@ -110,11 +110,13 @@
     }
 
     fn candidates(&self) -> Candidates {
-        let max_silence = Duration::from_millis(self.request.objective_ms.into()) * SILENCE_FACTOR;
+        let unresponsive_after =
+            Duration::from_millis(self.request.objective_ms.into()) * UNRESPONSIVE_FACTOR;
         let allowed = |engine: &&Arc<Target>| !self.request.avoid.contains(&short_hash(engine.key));
         let engines = self.group.engines.iter().filter(allowed);
         let engines = engines.filter(|engine| !engine.is_changing_stage(self.now));
-        let available = engines.filter(|engine| !engine.is_unavailable(max_silence, self.now));
+        let available =
+            engines.filter(|engine| !engine.is_unavailable(unresponsive_after, self.now));
         let warming_up = self.shared.coordinator.is_warming_up(self.group.key, self.now);
         let (permitted, exhausted): (Vec<_>, Vec<_>) = available
             .map(|engine| (engine, self.permit_delay(engine)))
--- a/crates/direct/src/exchange/entry_stream.rs
+++ b/crates/direct/src/exchange/entry_stream.rs
@@ -26,8 +26,8 @@
 /// record is a paid call.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// After this time without a heartbeat an entry counts as gone: one heartbeat may be lost, and an
-/// entry that is no designated reader may read only every ten seconds.
+/// After this time without a heartbeat an entry is no longer counted as live: one heartbeat may be
+/// lost, and an entry that is no designated reader may read only every ten seconds.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(21);
 
 /// The shortest interval between reads; announcements are made two seconds ahead.
@@ -61,7 +61,7 @@
     /// The time since which no plan was missed: there may have been plans before the first read,
     /// and among records that expired unread.
     pub complete_since: Option<Instant>,
-    /// Engines named by plans that were read within the last [`PLAN_RETENTION`].
+    /// Engines named by plans that were read within the last `PLAN_RETENTION`.
     pub planned_engines: Vec<PlannedEngine>,
     /// The names of the live entries, sorted.
     pub entries: Vec<CompactString>,
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -1,14 +1,15 @@
 //! Exchanges the state of entries, mainly their work at engines, by datagram.
 //!
 //! **Load pattern.** Several entries send prompts to the same engines, and a burst requests several
-//! times what they can prefill. **Without it** an entry knows only its own work. Each of five
+//! times what they can prefill. **Without this**, an entry observes only its own work. Each of five
 //! entries would limit itself to a fifth of an engine's time, so that prompts are refused while
 //! engines are idle; and one large prompt from each makes the queue five times too long, so that
-//! accepted prompts miss their objective. **How.** Each entry sends its whole state, at most every
-//! few milliseconds and early only when it has changed, so that a lost datagram matters only until
-//! the next one. Coordinators know all reservations, see [`crate::cluster::coordinator`]; the state
-//! sent here is used by entries that no coordinator responds to, and by new coordinators. The state
-//! of a silent entry expires, and its work is then estimated from that of the others.
+//! accepted prompts miss their objective. **Approach.** Each entry sends its whole state, at most
+//! every few milliseconds and early only when it has changed, so that a lost datagram matters only
+//! until the next one. Coordinators record all reservations, see [`crate::cluster::coordinator`];
+//! the state sent here is used by entries that no coordinator responds to, and by new coordinators.
+//! The state of an entry whose datagrams no longer arrive expires, and its work is then estimated
+//! from that of the others.
 
 use crate::cluster::clock;
 use crate::cluster::entry_state::{
@@ -37,7 +38,8 @@
 /// The number of peers up to which [`MIN_INTERVAL`] applies, and by which it grows.
 const PEERS_PER_STEP: u32 = 4;
 
-/// The longest wait for a change before a datagram is sent, so that a peer's silence is detected.
+/// The longest wait for a change before a datagram is sent, so that peers detect the loss of an
+/// entry.
 const KEEPALIVE: Duration = Duration::from_millis(250);
 
 /// The size of the receive buffer in bytes: no datagram can be larger.
--- a/crates/direct/src/request/decode_placement.rs
+++ b/crates/direct/src/request/decode_placement.rs
@@ -5,9 +5,9 @@
 //! entry decides by load that the others reported 85 to 300 ms ago, in which time ten others have
 //! chosen: prompts that were prefilled in time wait for a slot or for the link of one engine while
 //! others are free. **Approach.** As for prompts, see [`crate::request::prefill_placement`]. The
-//! group of the engine that prefilled the prompt is asked first, since a transfer takes half as long
-//! within a failure domain; the others are asked if its engines are half full. If no coordinator
-//! responds, the entry decides by its own view of the engines.
+//! group of the engine that prefilled the prompt is asked first, since a transfer takes half as
+//! long within a failure domain; the others are asked if its engines are half full. If no
+//! coordinator responds, the entry decides by its own view of the engines.
 
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
@@ -22,8 +22,8 @@
 use std::time::Duration;
 
 /// How full an engine may be for a stream, in percent of its slots, for each group asked in turn.
-/// The last one may queue some: a stream that waits for one of its slots proceeds sooner than
-/// after another round of requests.
+/// The last one may queue some: a stream that waits for one of its slots proceeds sooner than after
+/// another round of requests.
 const MAX_FILL_PERCENT: [u32; 4] = [50, 75, 100, 150];
 
 /// The longest time to live: a stream that was reserved longer ago has ended, even if the report of
@@ -77,7 +77,8 @@
 }
 
 /// The groups to ask: those of the failure domain first, the others in random order, so that the
-/// streams that one group has no room for spread over all others. Groups without a decode engine are left out.
+/// streams that one group has no room for spread over all others. Groups without a decode engine
+/// are left out.
 fn group_order(request: &RequestContext, groups: &[Group], domain: &str) -> Vec<usize> {
     let has_decode_engine = |group: &Group| {
         group
--- a/crates/direct/src/request/dispatch.rs
+++ b/crates/direct/src/request/dispatch.rs
@@ -1,4 +1,5 @@
-//! One attempt of a request: its permit, what it counts as at the target, sending it, and forwarding the response.
+//! One attempt of a request: acquires its permit, counts it at the target, sends it, and forwards
+//! the response.
 
 use crate::codec::AttemptHead;
 use crate::request::context::RequestContext;
--- a/crates/direct/src/request/relay.rs
+++ b/crates/direct/src/request/relay.rs
@@ -54,7 +54,8 @@
 
 /// Finds another target for the rest of a stream.
 pub trait Resume: Send {
-    /// Resumes the stream at another target after the event with this id; `None` if that is not possible.
+    /// Resumes the stream at another target after the event with this id; `None` if that is not
+    /// possible.
     fn resume(
         &self,
         last_event_id: Option<u64>,
