--- a/crates/direct/src/codec.rs
+++ b/crates/direct/src/codec.rs
@@ -42,7 +42,7 @@
     pub model: CompactString,
     /// Tokens in the prompt.
     pub input_tokens: u32,
-    /// Tokens of output at most.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
     /// The prompt's parts. The last one belongs to this request alone.
     pub parts: Vec<Part>,
--- a/crates/direct/src/config/route.rs
+++ b/crates/direct/src/config/route.rs
@@ -79,7 +79,7 @@
     pub kv_capacity: u64,
     /// Streams that one engine decodes concurrently.
     pub max_streams: u32,
-    /// Tokens in a piece of output, if known.
+    /// Tokens in a piece of output, if configured.
     pub piece_tokens: Option<u32>,
     /// How long an engine is out of service to change its stage.
     pub stage_change_time: Duration,
@@ -146,7 +146,7 @@
         Self { version, limits, services, hosts, max_gaps, customers: None }
     }
 
-    /// Returns the same table, restricted to these customers.
+    /// The same table, restricted to these customers.
     #[must_use]
     pub fn with_customers(self, customers: Customers) -> Self {
         Self { customers: Some(customers), ..self }
@@ -165,7 +165,7 @@
         self.customers.as_ref().map(Customers::key_count)
     }
 
-    /// Returns the route of `host` with the longest prefix that `path` begins with.
+    /// The route of `host` with the longest prefix that `path` begins with.
     ///
     /// Prefixes end with a slash, so it tries the path up to each slash from the last: as many
     /// lookups as the path has segments, however many routes there are.
--- a/crates/direct/src/duty/billing.rs
+++ b/crates/direct/src/duty/billing.rs
@@ -3,7 +3,7 @@
 //!
 //! The holder commits the counts of a window to a stream of the log before it reports them. Its
 //! successor finds there what may have been reported and reports exactly that, because a report
-//! without an answer may still be carried out later. The record is also the lease, see
+//! without a response may still be carried out later. The record is also the lease, see
 //! [`policy::lease`], and its offset is the fencing token. Without faults a window costs one record
 //! and one report; the other entries receive the progress by datagram and read the stream only when
 //! a bill is overdue.
@@ -40,7 +40,7 @@
     pub counts: Counts,
 }
 
-/// The outcome of a report that was answered.
+/// The outcome of a report to which the platform responded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
     /// The platform has accepted it.
@@ -67,7 +67,8 @@
 pub struct Settings {
     /// The length of a window.
     pub window: Duration,
-    /// For how long a holder must have been silent before another entry may act.
+    /// The grace period of the lease: how long after the holder may no longer act another entry may
+    /// take over, see [`lease::Settings::grace`].
     pub lease: Duration,
 }
 
@@ -129,9 +130,9 @@
     incarnation: Incarnation,
     settings: lease::Settings,
     lease: Lease,
-    /// The end of the stream, as far as it is known.
+    /// The end of the stream, as last observed.
     stream_end: Offset,
-    /// The first window that is not committed, as far as it is known.
+    /// The first window that is not committed, as last observed.
     next_window: Option<WindowIndex>,
     /// Committed windows that the platform may not have accepted yet.
     unreported: BTreeMap<WindowIndex, Counts>,
--- a/crates/direct/src/duty/cache_inventory.rs
+++ b/crates/direct/src/duty/cache_inventory.rs
@@ -2,11 +2,11 @@
 //! in a running system.
 //!
 //! **Load pattern.** All entries are killed together, while the engines go on and keep their
-//! caches. **Without it** entries assume that nothing is cached, and count the shared parts of each
-//! prompt as tokens to prefill: engines look full at a third of their capacity, and a fifth of the
-//! callers is refused for ten seconds. **How.** Each entry asks the engines that it coordinates, as
-//! first or as standby, as soon as it finds that it does: it is the one that others ask which
-//! engine has what cached.
+//! caches. **Without this**, entries assume that nothing is cached, and count the shared parts of
+//! each prompt as tokens to prefill: engines look full at a third of their capacity, and a fifth of
+//! the callers is refused for ten seconds. **Approach.** Each entry fetches this from the engines
+//! that it coordinates, as coordinator or as standby, as soon as it observes that it does, because
+//! the other entries ask it which engine has which parts cached.
 
 use crate::cluster::groups::Member;
 use crate::shared::Shared;
@@ -22,19 +22,19 @@
 /// How long an engine may take to respond.
 const TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How often to check for engines to ask.
+/// How often to check for newly coordinated engines.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long after the first start of the whole system engines have cached only what was prefilled
 /// since, and their coordinators have reports of all of it.
 const COLD_START: Duration = Duration::from_secs(10);
 
-/// Asks each engine once what it has cached, for as long as the process lives.
+/// Fetches once from each engine what it has cached, for as long as the process lives.
 pub async fn run(shared: Arc<Shared>) {
-    let (began, mut known) = (Instant::now(), HashSet::new());
+    let (began, mut fetched) = (Instant::now(), HashSet::new());
     loop {
         tokio::time::sleep(POLL_INTERVAL).await;
-        let engines = newly_coordinated(&shared, &mut known);
+        let engines = newly_coordinated(&shared, &mut fetched);
         if !shared.settings.first_start || began.elapsed() > COLD_START {
             futures_util::future::join_all(engines.iter().map(|engine| fetch(&shared, engine)))
                 .await;
@@ -43,7 +43,7 @@
 }
 
 /// The engines that this entry has begun to coordinate since the last check.
-fn newly_coordinated(shared: &Shared, known: &mut HashSet<Hash>) -> Vec<Arc<Target>> {
+fn newly_coordinated(shared: &Shared, fetched: &mut HashSet<Hash>) -> Vec<Arc<Target>> {
     let Some(table) = shared.table.borrow().clone() else { return Vec::new() };
     let services = table.services().filter(|service| service.engine.is_some());
     let groups: Vec<_> = services.map(|service| shared.groups(&service.name)).collect();
@@ -51,7 +51,8 @@
     let groups = groups.iter().flat_map(|groups| groups.iter());
     let groups = groups.filter(|group| group.coordinators.iter().any(ours));
     let engines = groups.flat_map(|group| &group.engines);
-    let new_engines = engines.filter(|engine| engine.stage().is_some() && known.insert(engine.key));
+    let new_engines =
+        engines.filter(|engine| engine.stage().is_some() && fetched.insert(engine.key));
     new_engines.cloned().collect()
 }
 
--- a/crates/direct/src/duty/stage_planner.rs
+++ b/crates/direct/src/duty/stage_planner.rs
@@ -1,20 +1,20 @@
 //! Changes the stages of engines to the split between prefill and decode that the load requires.
 //!
-//! Any entry may do so, one at a time. An entry that wants to change stages appends its plan to the
-//! entries' stream on condition that nothing was appended since it last read: of several entries,
-//! one succeeds. The plan's offset is the fencing token of its orders. It is also the announcement:
-//! all entries stop sending new work to the engines in the plan, and only then are the orders sent,
-//! see [`orders`].
+//! Any entry may do so, one at a time. To change stages, an entry appends its plan to the entries'
+//! stream on condition that nothing was appended since it last read: of several entries, one
+//! succeeds. The plan's offset is the fencing token of its orders. It is also the announcement: all
+//! entries stop sending new work to the engines in the plan, and only then are the orders sent, see
+//! `orders`.
 //!
 //! A plan names engines, and its planner has a lease on them: another entry plans a change of an
-//! engine again only when it has read no plan with that engine for [`QUIET_PERIOD`]. So an urgent
+//! engine again only when it has read no plan with that engine for `QUIET_PERIOD`. So an urgent
 //! plan, made because no engine decodes or none prefills, is made at once, with other engines than
-//! the last one. Plans that can wait are [`QUIET_PERIOD`] apart, so that the effect of each shows
+//! the last one. Plans that can wait are `QUIET_PERIOD` apart, so that the effect of each shows
 //! first.
 //!
 //! Where streams are about to fill all slots while prefill engines can be spared, these are lent to
 //! decode and returned later, see [`policy::balance`]. Such plans are announced by datagram, and
-//! the same planner may make the next one after [`REBALANCE_INTERVAL`].
+//! the same planner may make the next one after `REBALANCE_INTERVAL`.
 
 mod orders;
 
@@ -162,11 +162,11 @@
 /// What is wrong with a split; the names of the variants are logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Imbalance {
-    /// No available engine does this part.
+    /// No available engine has this role.
     Lacks(EngineRole),
-    /// The load leaves one part short of engines that the other can spare.
+    /// The load leaves one role short of engines that the other can spare.
     Short(EngineRole),
-    /// Of so many engines, too few do this part for the load.
+    /// Of so many engines, too few have this role for the load.
     TooFew { part: EngineRole, of: usize },
 }
 
@@ -209,8 +209,8 @@
             if let Some((imbalance, changes)) = found.filter(|_| due) {
                 log::info!(target: "stages", service = service.name.as_str(), wrong:? = imbalance;
                     "split to be changed");
-                // Where nobody can be served, or nobody sends requests, no work has to be kept away
-                // first.
+                // Where no request can be served, or none is sent, no work has to be kept away from
+                // the engines first.
                 let skip_announcement = idle || matches!(imbalance, Imbalance::Lacks(_));
                 if let Imbalance::Short(_) = imbalance
                     && let Some(state) = self.services.get_mut(&service.name)
@@ -255,7 +255,7 @@
         let engines: Vec<Engine> = staged.iter().map(|(_, _, engine)| *engine).collect();
         let missing = split::missing_role(&engines);
         if missing.is_some() {
-            // The available engines have to do both parts.
+            // The available engines have to fill both roles.
             staged.retain(|(_, _, engine)| engine.available);
         }
         let engines: Vec<Engine> = staged.iter().map(|(_, _, engine)| *engine).collect();
@@ -270,16 +270,16 @@
         let allowed = changes.into_iter().filter(|&at| self.may_order(&staged[at].0.id, now));
         let changes: StageChanges =
             allowed.map(|at| (staged[at].0.clone(), other_stage(staged[at].1))).collect();
-        let part = if desired > prefill { EngineRole::Reads } else { EngineRole::Writes };
+        let role = if desired > prefill { EngineRole::Reads } else { EngineRole::Writes };
         let imbalance = match (missing, rebalanced) {
             (Some(missing), _) => Imbalance::Lacks(missing),
-            (None, Some(_)) => Imbalance::Short(part),
-            (None, None) => Imbalance::TooFew { part, of: engines.len() },
+            (None, Some(_)) => Imbalance::Short(role),
+            (None, None) => Imbalance::TooFew { part: role, of: engines.len() },
         };
         (!changes.is_empty()).then_some((imbalance, changes))
     }
 
-    /// How many engines should prefill if the load leaves one part short of engines.
+    /// How many engines should prefill if the load leaves one role short of engines.
     fn rebalanced_prefill(
         &self,
         service: &Service,
@@ -322,7 +322,7 @@
         let profile = self.shared.loads.engine_profile(&service.name, spec.max_streams)?;
         let load = state.demand.projected_load(&profile, spec.stage_change_time + REACTION_TIME);
         let count_available =
-            |part| engines.iter().filter(|engine| engine.available && engine.role == part).count();
+            |role| engines.iter().filter(|engine| engine.available && engine.role == role).count();
         let pool = balance::Pool {
             prefill: count_available(EngineRole::Reads),
             decode: count_available(EngineRole::Writes),
@@ -330,7 +330,7 @@
         Some((load, pool))
     }
 
-    /// How many engines should prefill as long as no part is short of engines.
+    /// How many engines should prefill as long as no role is short of engines.
     fn usual_prefill(
         &self,
         service: &Service,
--- a/crates/direct/src/duty/stage_planner/orders.rs
+++ b/crates/direct/src/duty/stage_planner/orders.rs
@@ -1,6 +1,6 @@
 //! Executes a plan: announces it, and sends orders to the engines that it names.
 //!
-//! An entry that was frozen, or whose append was answered late, sends no orders: [`MAX_PLAN_AGE`]
+//! An entry that was frozen, or whose append got a late response, sends no orders: [`MAX_PLAN_AGE`]
 //! is measured from before the append, by a clock that also counts suspended time.
 
 use super::Planner;
@@ -26,7 +26,7 @@
 pub(super) const ANNOUNCEMENT_TIME: Duration = Duration::from_millis(2_200);
 
 /// The same where the load can't wait: entries receive the plan by datagram. An entry that misses
-/// it still sends work to engines that change; they refuse it, and it is sent elsewhere.
+/// it still sends work to engines that change; they refuse it, and it is sent to another engine.
 pub(super) const DATAGRAM_ANNOUNCEMENT_TIME: Duration = Duration::from_millis(400);
 
 /// No orders are sent later than this after the append began.
--- a/crates/direct/src/log_search.rs
+++ b/crates/direct/src/log_search.rs
@@ -6,7 +6,8 @@
 
 use compact_str::CompactString;
 
-/// Modules whose lines report the state that a process knows of, not what it did for a request.
+/// Modules whose lines report changes of the state that a process observes, not what it did for a
+/// request.
 const STATE_MODULES: [&str; 8] =
     ["config", "fleet", "stages", "store", "bulletin", "peers", "process", "unknown"];
 
@@ -27,8 +28,8 @@
 }
 
 /// Returns one request's lines from all processes, in order. Each process's first line is preceded
-/// by the state that it knew at that time: its configuration, and the last line on each target that
-/// the request's lines name.
+/// by the state that it had observed by then: its configuration, and the last line on each target
+/// that the request's lines name.
 pub fn request(id: &str, sources: &[Source<'_>]) -> Vec<String> {
     let mut found = Vec::new();
     for source in sources {
@@ -56,7 +57,7 @@
     changes.iter().map(|line| format!("{} {}", line.source, format_line(line))).collect()
 }
 
-/// The configuration in force, and the last line on each target that `named` contains.
+/// Returns the configuration in force, and the last line on each target that `named` contains.
 fn state_before<'a>(before: impl Iterator<Item = &'a Line<'a>>, named: &str) -> Vec<&'a Line<'a>> {
     let mut last: Vec<(CompactString, &Line<'_>)> = Vec::new();
     for line in before.filter(|line| is_state_change(line.text)) {
@@ -94,7 +95,7 @@
     format!("{} {module}: {rest}", line.time)
 }
 
-/// The value of a key, without quotes.
+/// Returns the value of a key, without quotes.
 fn value<'a>(text: &'a str, key: &str) -> Option<&'a str> {
     let mut from = 0;
     loop {
--- a/crates/direct/src/logging.rs
+++ b/crates/direct/src/logging.rs
@@ -31,7 +31,7 @@
 
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// The number of lines dropped since the start.
+/// Returns the number of lines dropped since the start.
 pub fn dropped() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
--- a/crates/direct/src/metrics.rs
+++ b/crates/direct/src/metrics.rs
@@ -85,7 +85,7 @@
     log_calls: Family<CallLabels, Counter>,
     stream_reads: Family<CallLabels, Counter>,
     log_call_seconds: Family<KindLabel, Histogram>,
-    extras: Family<KindLabel, Counter>,
+    extra_attempts: Family<KindLabel, Counter>,
     prompt_tokens: Family<KindLabel, Counter>,
     orders: Family<KindLabel, Counter>,
     permits: Family<KindLabel, Counter>,
@@ -133,7 +133,7 @@
             log_calls: Family::default(),
             stream_reads: Family::default(),
             log_call_seconds: Family::new_with_constructor(latencies),
-            extras: Family::default(),
+            extra_attempts: Family::default(),
             prompt_tokens: Family::default(),
             orders: Family::default(),
             permits: Family::default(),
@@ -161,7 +161,7 @@
         to.register("first_piece_seconds", "Time to the first piece", self.first_piece.clone());
         to.register("gap_seconds", "Time between pieces of a stream", self.gaps.clone());
         to.register("request_seconds", "Time of whole requests", self.request_seconds.clone());
-        to.register("extras", "Extra sendings, allowed and denied", self.extras.clone());
+        to.register("extras", "Extra sendings, allowed and denied", self.extra_attempts.clone());
         to.register("log_lines_dropped", "Log lines dropped", self.dropped_lines.clone());
     }
 
@@ -241,7 +241,8 @@
         }
     }
 
-    /// Drops the counters of targets that are gone, since each restart of a target brings a new id.
+    /// Drops the counters of targets that were removed, since each restart of a target brings a new
+    /// id.
     pub fn forget_targets(&self, is_known: impl Fn(&str) -> bool) {
         let mut known = self.known_targets.lock().unwrap_or_else(PoisonError::into_inner);
         known.retain(|target| {
@@ -315,7 +316,7 @@
     /// Counts an extra attempt as allowed or denied.
     pub fn extra(&self, allowed: bool) {
         let kind = if allowed { "allowed" } else { "denied" }.into();
-        self.extras.get_or_create(&KindLabel { kind }).inc();
+        self.extra_attempts.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Encodes all metrics as text.
--- a/crates/direct/src/probe.rs
+++ b/crates/direct/src/probe.rs
@@ -19,7 +19,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Serves `page` for as long as the process lives.
 pub async fn serve(listener: TcpListener, page: Page) {
@@ -28,7 +28,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 log::warn!(target: "intake", error:% = error; "probe not accepted");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -223,7 +223,7 @@
         self.fleet().get(&target.id).is_some_and(|known| known.key == target.key)
     }
 
-    /// Starts to stop the process.
+    /// Starts the shutdown of the process.
     pub fn stop(&self, stop: Stop) {
         // Only the first call has an effect.
         let _ = self.stop.set(stop);
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -78,11 +78,11 @@
     pub deadline: Instant,
 }
 
-/// Sends `content` to `target` and waits for the head of the response.
+/// Sends `buffered` to `target` and waits for the head of the response.
 pub async fn send(
     codec: &dyn Codec,
     target: &Arc<Target>,
-    content: &BufferedRequest,
+    buffered: &BufferedRequest,
     head: &AttemptHead,
     bounds: &Bounds,
 ) -> Outcome {
@@ -108,7 +108,7 @@
             return Outcome::Closed(closed);
         }
         counted = true;
-        let request = request(codec, content, head);
+        let request = request(codec, buffered, head);
         let (reused, sent) = (connection.reused, Instant::now());
         match timeout_at(bounds.deadline, connection.sender.try_send_request(request)).await {
             Err(_) => {
@@ -201,13 +201,13 @@
 
 fn request(
     codec: &dyn Codec,
-    content: &BufferedRequest,
+    buffered: &BufferedRequest,
     head: &AttemptHead,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(content.body.clone()));
-    *request.method_mut() = content.method.clone();
-    *request.uri_mut() = content.path.clone();
-    *request.headers_mut() = codec.attempt_headers(&content.headers, head);
+    let mut request = Request::new(Full::new(buffered.body.clone()));
+    *request.method_mut() = buffered.method.clone();
+    *request.uri_mut() = buffered.path.clone();
+    *request.headers_mut() = codec.attempt_headers(&buffered.headers, head);
     request
 }
 
@@ -223,9 +223,9 @@
     let status = response.status();
     let response_head = codec.decode_response(status, response.headers());
     let refused = response_head.not_run || status == StatusCode::MISDIRECTED_REQUEST;
-    let belongs_elsewhere =
+    let is_for_other_request =
         response_head.attempt_id.is_some() && response_head.attempt_id != head.attempt_id;
-    if belongs_elsewhere {
+    if is_for_other_request {
         // A duplicate or late response arrived in place of this one. The connection is dropped, and
         // the right response with it, since the responses on it can no longer be matched to
         // requests.
@@ -241,7 +241,8 @@
     }
     if refused {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            log::info!(target: "fleet", target_id = target.id.as_str(); "another answers in its place");
+            log::info!(target: "fleet", target_id = target.id.as_str();
+                "another answers in its place");
             target.mark_misdirected(now);
         }
         drain(response, connection, response_head);
--- a/crates/direct/src/targets/availability.rs
+++ b/crates/direct/src/targets/availability.rs
@@ -34,7 +34,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Targets that are leaving, and since when this process knows it.
+    /// Targets that are leaving, and when this process first observed it.
     leaving: HashMap<Hash, Instant>,
     /// The same in that order, for as long as they are published.
     published: VecDeque<(Hash, Instant)>,
@@ -115,7 +115,7 @@
         SignalState::restored(inner.leaving.contains_key(&target), pause)
     }
 
-    /// Targets that recently announced that they are leaving.
+    /// Returns the targets that recently announced that they are leaving.
     pub fn leaving(&self, now: Instant) -> Vec<Hash> {
         let mut inner = self.lock();
         inner.expire(now);
@@ -136,7 +136,7 @@
         leaving.chain(paused).take(MAX_PUBLISHED).collect()
     }
 
-    /// The number of targets that are leaving or paused.
+    /// Returns the number of targets that are leaving or paused.
     pub fn counts(&self, now: Instant) -> Counts {
         let mut inner = self.lock();
         inner.expire(now);
--- a/crates/direct/src/targets/engine.rs
+++ b/crates/direct/src/targets/engine.rs
@@ -1,5 +1,5 @@
-//! What this process knows about one engine: its own prefill work and streams there, and what is
-//! probably in the engine's prefix cache.
+//! This process's view of one engine: its own prefill work and streams there, and what is probably
+//! in the engine's prefix cache.
 
 use crate::codec::{Part, PartId};
 use crate::targets::workload::{PendingWork, Workload};
--- a/crates/direct/src/targets/fleet.rs
+++ b/crates/direct/src/targets/fleet.rs
@@ -180,19 +180,19 @@
         log_state: LogState,
     ) {
         let before = self.changed_offsets.len();
-        let mut gone = Vec::new();
+        let mut disappeared = Vec::new();
         for (offset, update) in updates {
             match update {
                 FleetUpdate::Registered(id, record) => {
-                    gone.retain(|(other, _)| *other != id);
+                    disappeared.retain(|(other, _)| *other != id);
                     self.apply_record(id, record, offset);
                 }
-                FleetUpdate::Removed(id) => gone.push((id, offset)),
+                FleetUpdate::Removed(id) => disappeared.push((id, offset)),
                 FleetUpdate::Unreadable(_) => {}
             }
         }
-        let grace_periods = self.grace_periods(&gone, log_state);
-        for (id, offset) in gone {
+        let grace_periods = self.grace_periods(&disappeared, log_state);
+        for (id, offset) in disappeared {
             let service = self.members.get(&id).map(|member| member.target.service.clone());
             let grace = service.and_then(|service| grace_periods.get(&service).copied());
             self.remove(&id, offset, grace.map(|grace| now + grace));
@@ -311,7 +311,7 @@
         self.change_end
     }
 
-    /// Returns the offsets of the records that changed something since the last call.
+    /// Takes the offsets of the records that changed something since the last call.
     pub fn take_changed(&mut self) -> Vec<Offset> {
         std::mem::take(&mut self.changed_offsets)
     }
@@ -354,7 +354,8 @@
             return;
         }
         if is_earlier(member.incarnation, record.incarnation) {
-            log::info!(target: "fleet", target_id = id.as_str(), offset, born:? = record.incarnation;
+            log::info!(target: "fleet", target_id = id.as_str(), offset,
+                born:? = record.incarnation;
                 "target started again");
             self.add(id, record, offset);
             return;
@@ -373,7 +374,8 @@
             record;
         self.record_change(offset);
         log::info!(target: "fleet", target_id = id.as_str(), service = service.as_str(),
-            address:% = address, leaving, stage:? = stage, born:? = incarnation, offset; "target seen");
+            address:% = address, leaving, stage:? = stage, born:? = incarnation, offset;
+            "target seen");
         let identity = target::Identity { id: id.clone(), incarnation };
         let target = Target::new(identity, service, address, domain, slots, self.workload.clone());
         target.set_stage(stage);
@@ -419,11 +421,11 @@
     /// each with how long its targets stay in use.
     fn grace_periods(
         &self,
-        gone: &[(TargetId, Offset)],
+        disappeared: &[(TargetId, Offset)],
         log_state: LogState,
     ) -> HashMap<ServiceName, Duration> {
         let mut lost: HashMap<&ServiceName, usize> = HashMap::new();
-        for (id, _) in gone {
+        for (id, _) in disappeared {
             if let Some(member) = self.members.get(id).filter(|member| !member.leaving) {
                 *lost.entry(&member.target.service).or_default() += 1;
             }
--- a/crates/direct/src/targets/pool.rs
+++ b/crates/direct/src/targets/pool.rs
@@ -44,8 +44,8 @@
 /// domains, less than the second after which a lost first packet is sent again.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// After this time without an acknowledgement a connection counts as dead. One that went silent
-/// without a reset would otherwise hold its request until the deadline.
+/// After this time without an acknowledgement a connection counts as dead. One that fails without a
+/// reset would otherwise hold its request until the deadline.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Idle timeout where the target doesn't report its own.
@@ -103,7 +103,7 @@
 }
 
 impl Pool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(address: SocketAddr) -> Self {
         let (idle, open) = (Mutex::default(), AtomicU32::new(0));
         let has_expiry_task = AtomicBool::new(false);
@@ -152,7 +152,7 @@
         }
         let began = Instant::now();
         let stream = connect(target, connect_timeout).await?;
-        let opened = Some(began.elapsed());
+        let connect_time = Some(began.elapsed());
         let failed = |detail| Error::Connect { target, detail };
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES);
@@ -165,7 +165,7 @@
                 log::debug!(target: "pool", target:% = target, error:% = error; "connection ended");
             }
         });
-        Ok(Connection { sender, reused: false, connect_time: opened, count, pool: self.0.clone() })
+        Ok(Connection { sender, reused: false, connect_time, count, pool: self.0.clone() })
     }
 }
 
@@ -205,9 +205,9 @@
         let until = now
             + idle_timeout
                 .map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout.mul_f64(IDLE_TIMEOUT_SHARE));
-        let mut kept = self.pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        kept.push(Idle { sender: self.sender, until, count: self.count });
-        drop(kept);
+        let mut idle = self.pool.idle.lock().unwrap_or_else(PoisonError::into_inner);
+        idle.push(Idle { sender: self.sender, until, count: self.count });
+        drop(idle);
         self.pool.expire_when_due();
     }
 }
--- a/crates/direct/src/targets/target.rs
+++ b/crates/direct/src/targets/target.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A target and what this process knows about it.
+/// A target as this process has observed it.
 #[derive(Debug)]
 pub struct Target {
     /// The id. A target may restart under the same id, as another incarnation.
@@ -50,7 +50,7 @@
     workload: Arc<Workload>,
     /// Whether a task is probing it.
     probed: AtomicBool,
-    /// When this process first learned of it. The times passed to `policy` count from then.
+    /// When this process first observed it. The times passed to `policy` count from then.
     first_seen: Instant,
 }
 
@@ -254,7 +254,8 @@
                 log::info!(target: "fleet", target_id = id; "target says that it leaves");
             }
             SignalChange::Pauses { span, is_new: true } => {
-                log::info!(target: "fleet", target_id = id, ms = span.as_millis(); "target wants a pause");
+                log::info!(target: "fleet", target_id = id, ms = span.as_millis();
+                    "target wants a pause");
             }
             SignalChange::Pauses { is_new: false, .. } => {}
             SignalChange::Resumes => {
@@ -278,8 +279,8 @@
         (self.first_seen + limit.sent_at(), self.first_seen + limit.received_at())
     }
 
-    /// Returns whether a report of its limit to its coordinators is due, or, if `is_outdated`, a
-    /// report that it has none. If so, counts the report as sent.
+    /// Whether a report of its limit to its coordinators is due, or, if `is_outdated`, a report
+    /// that it has none. If so, counts the report as sent.
     pub fn begin_limit_report(&self, is_outdated: bool, now: Instant) -> bool {
         self.state().intake.begin_limit_report(is_outdated, self.time(now))
     }
--- a/crates/direct/src/targets/target/intake.rs
+++ b/crates/direct/src/targets/target/intake.rs
@@ -1,12 +1,12 @@
-//! Whether a target accepts requests from this entry: by its own responses, by the permits that
-//! there are, and by its responses to other entries.
+//! Whether a target accepts requests from this entry: by its own responses, by the permits that are
+//! available, and by its responses to other entries.
 
 use policy::Time;
 use policy::signals::{Change, Closed, SignalState, Signals};
 use std::time::Duration;
 
 /// For how long a target's limit counts as exhausted after a permit was refused: longer than an
-/// entry waits before it asks again.
+/// entry waits before it requests one again.
 const LIMIT_EXHAUSTED: Duration = Duration::from_millis(2_500);
 
 /// Interval at which an unchanged limit is reported to the target's coordinators.
@@ -26,7 +26,7 @@
     /// When a permit was last refused.
     refused: Option<Time>,
     /// Until when it accepts no requests from some other entry.
-    paused_elsewhere: Option<Time>,
+    peer_pause_until: Option<Time>,
 }
 
 impl Intake {
@@ -44,11 +44,11 @@
     }
 
     pub(super) fn record_peer_pause(&mut self, until: Time) {
-        self.paused_elsewhere = Some(until);
+        self.peer_pause_until = Some(until);
     }
 
-    /// Returns whether a report of the limit to its coordinators is due, or, if `is_outdated`, a
-    /// report that there is none. If so, counts the report as sent.
+    /// Whether a report of the limit to its coordinators is due, or, if `is_outdated`, a report
+    /// that there is none. If so, counts the report as sent.
     pub(super) fn begin_limit_report(&mut self, is_outdated: bool, now: Time) -> bool {
         let recently =
             self.limit_reported.is_some_and(|at| now.saturating_sub(at) < LIMIT_REPORT_INTERVAL);
@@ -79,6 +79,6 @@
     /// Whether other targets are preferred.
     pub(super) fn is_unavailable(&self, now: Time) -> bool {
         let open: Result<(), Closed> = self.signal_state.check_open(now);
-        open.is_err() || self.paused_elsewhere.is_some_and(|until| now < until)
+        open.is_err() || self.peer_pause_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/direct/src/targets/workload.rs
+++ b/crates/direct/src/targets/workload.rs
@@ -11,7 +11,7 @@
 
 /// An engine's pending work.
 pub trait PendingWork: std::fmt::Debug + Send + Sync {
-    /// Tokens to prefill, and streams.
+    /// Returns the tokens to prefill, and the streams.
     fn pending(&self) -> (u64, u32);
 }
 
--- a/crates/direct/src/unknown_names.rs
+++ b/crates/direct/src/unknown_names.rs
@@ -17,7 +17,7 @@
 static SEEN: Mutex<BTreeSet<CompactString>> = Mutex::new(BTreeSet::new());
 
 /// Reports a name that no decoder knows, once per process. `place` is where it was found.
-pub fn note(place: &'static str, name: &str, value: Option<&[u8]>) {
+pub fn report(place: &'static str, name: &str, value: Option<&[u8]>) {
     let name = truncate(name);
     let mut seen = SEEN.lock().unwrap_or_else(PoisonError::into_inner);
     if seen.len() >= MAX_NAMES || !seen.insert(format_compact!("{place} {name}")) {
