--- a/crates/direct/src/cluster/messages.rs
+++ b/crates/direct/src/cluster/messages.rs
@@ -176,7 +176,7 @@
     /// The entry that sends the request.
     #[prost(message, optional, tag = "4")]
     pub requester: Option<Requester>,
-    /// The limit as far as the requester knows it.
+    /// The limit that the requester last observed, if any.
     #[prost(message, optional, tag = "5")]
     pub limit: Option<TargetLimit>,
 }
@@ -193,7 +193,7 @@
 }
 
 impl Requester {
-    /// The requester of a permit; a priority out of range becomes the least urgent.
+    /// Returns the requester of a permit; a priority out of range becomes the least urgent.
     pub fn to_pacing(&self) -> pacing::Requester {
         let priority = pacing::Priority::try_from(self.priority).unwrap_or(pacing::Priority::MAX);
         pacing::Requester { entry: self.entry, priority }
@@ -285,7 +285,7 @@
     pub tokens: u64,
     /// Tokens that were queued there before the prompt.
     #[prost(uint64, tag = "4")]
-    pub waiting: u64,
+    pub queued_tokens: u64,
     /// Whether the grant includes a permit, see [`crate::request::permits`].
     #[prost(bool, tag = "5")]
     pub permit: bool,
--- a/crates/direct/src/exchange/broadcast.rs
+++ b/crates/direct/src/exchange/broadcast.rs
@@ -1,11 +1,12 @@
 //! Forwards what was read in the log, so that not every entry has to read it.
 //!
 //! **Load pattern.** A change of one target, of the configuration or of the entries concerns all
-//! entries, and each call to the log is paid for. **Without it** every entry makes a call for each
-//! record. **How.** Designated readers send the records themselves to the other entries. An entry
-//! that has read up to the start of such a span applies it like a read of its own. An entry that
-//! lacks earlier records, or misses the datagram, reads the log as soon as it observes that there
-//! are new records, see [`crate::cluster::tail`]. No record is applied twice or out of order.
+//! entries, and each call to the log is paid for. **Without this**, every entry makes a call for
+//! each record. **Approach.** Designated readers send the records themselves to the other entries.
+//! An entry that has read up to the start of such a span applies it like a read of its own. An
+//! entry that lacks earlier records, or misses the datagram, reads the log as soon as it observes
+//! that there are new records, see [`crate::cluster::tail`]. No record is applied twice or out of
+//! order.
 
 use crate::cluster::messages::{ConfigRequest, LogRecord, LogRecords, Payload};
 use crate::cluster::tail::{RecordSpan, TOPICS, Topic};
@@ -44,7 +45,7 @@
     let members = shared.peers.members();
     for message in split(span) {
         for address in members.iter().filter_map(|member| member.address) {
-            shared.post.send(Payload::LogRecords(message.clone()), address);
+            shared.peer_socket.send(Payload::LogRecords(message.clone()), address);
         }
     }
 }
@@ -97,7 +98,7 @@
     let members = shared.peers.members();
     let member = members.iter().find(|member| member.key == ahead);
     if let Some(address) = member.and_then(|member| member.address) {
-        shared.post.send(Payload::ConfigRequest(ConfigRequest { next }), address);
+        shared.peer_socket.send(Payload::ConfigRequest(ConfigRequest { next }), address);
     }
 }
 
@@ -107,7 +108,7 @@
     let Some(record) = record else { return };
     let (topic, start) = (topic_index(Topic::Config), request.next);
     let message = LogRecords { topic, start, log_degraded: true, records: vec![encode(&record)] };
-    shared.post.send(Payload::LogRecords(message), to);
+    shared.peer_socket.send(Payload::LogRecords(message), to);
 }
 
 /// Queues records that another entry has forwarded.
--- a/crates/direct/src/exchange/coordination/prefill.rs
+++ b/crates/direct/src/exchange/coordination/prefill.rs
@@ -1,7 +1,7 @@
 //! Decides which engine of a group prefills a prompt.
 
 use super::permits::share;
-use super::{SILENCE_FACTOR, service};
+use super::{UNRESPONSIVE_FACTOR, service};
 use crate::cluster::entry_state::short_hash;
 use crate::cluster::groups::Group;
 use crate::cluster::messages::{
@@ -54,7 +54,7 @@
         let requested = if self.request.decode_engines { &decode } else { &prefill };
         let (placement, engines) = self.place(requested);
         match placement {
-            Placement::Prefill { at, copy_from, tokens } => {
+            Placement::Prefill { engine: at, copy_from, tokens } => {
                 let engine = &engines[at];
                 let permit = match self.acquire_permit(engine.key) {
                     Ok(permit) => permit,
@@ -67,8 +67,8 @@
                     self.now,
                 );
                 let copy_from = copy_from.map_or(0, |from| short_hash(engines[from].key));
-                let (engine, waiting) = (short_hash(engine.key), engines[at].queued_tokens);
-                Decision::Granted(Granted { engine, copy_from, tokens, waiting, permit })
+                let (engine, queued_tokens) = (short_hash(engine.key), engines[at].queued_tokens);
+                Decision::Granted(Granted { engine, copy_from, tokens, queued_tokens, permit })
             }
             Placement::Full(retry_after) => {
                 let decode_engine = !self.request.decode_engines
@@ -110,11 +110,13 @@
     }
 
     fn candidates(&self) -> Candidates {
-        let max_silence = Duration::from_millis(self.request.objective_ms.into()) * SILENCE_FACTOR;
+        let unresponsive_after =
+            Duration::from_millis(self.request.objective_ms.into()) * UNRESPONSIVE_FACTOR;
         let allowed = |engine: &&Arc<Target>| !self.request.avoid.contains(&short_hash(engine.key));
         let engines = self.group.engines.iter().filter(allowed);
         let engines = engines.filter(|engine| !engine.is_changing_stage(self.now));
-        let available = engines.filter(|engine| !engine.is_unavailable(max_silence, self.now));
+        let available =
+            engines.filter(|engine| !engine.is_unavailable(unresponsive_after, self.now));
         let warming_up = self.shared.coordinator.is_warming_up(self.group.key, self.now);
         let (permitted, exhausted): (Vec<_>, Vec<_>) = available
             .map(|engine| (engine, self.permit_delay(engine)))
@@ -158,7 +160,7 @@
             objective: Duration::from_millis(self.request.objective_ms.into()),
             late: self.request.late,
         };
-        let settings = self.shared.prompts(&self.service.name);
+        let settings = self.shared.prefill_settings(&self.service.name);
         (prefill::place_among(&settings, &prompt, &engines, candidates.len(), 1), engines)
     }
 
--- a/crates/direct/src/exchange/gossip.rs
+++ b/crates/direct/src/exchange/gossip.rs
@@ -1,14 +1,15 @@
 //! Exchanges the state of entries, mainly their work at engines, by datagram.
 //!
 //! **Load pattern.** Several entries send prompts to the same engines, and a burst requests several
-//! times what they can prefill. **Without it** an entry knows only its own work. Each of five
+//! times what they can prefill. **Without this**, an entry observes only its own work. Each of five
 //! entries would limit itself to a fifth of an engine's time, so that prompts are refused while
 //! engines are idle; and one large prompt from each makes the queue five times too long, so that
-//! accepted prompts miss their objective. **How.** Each entry sends its whole state, at most every
-//! few milliseconds and early only when it has changed, so that a lost datagram matters only until
-//! the next one. Coordinators know all reservations, see [`crate::cluster::coordinator`]; the state
-//! sent here is used by entries that no coordinator responds to, and by new coordinators. The state
-//! of a silent entry expires, and its work is then estimated from that of the others.
+//! accepted prompts miss their objective. **Approach.** Each entry sends its whole state, at most
+//! every few milliseconds and early only when it has changed, so that a lost datagram matters only
+//! until the next one. Coordinators record all reservations, see [`crate::cluster::coordinator`];
+//! the state sent here is used by entries that no coordinator responds to, and by new coordinators.
+//! The state of an entry whose datagrams no longer arrive expires, and its work is then estimated
+//! from that of the others.
 
 use crate::cluster::clock;
 use crate::cluster::entry_state::{
@@ -37,7 +38,8 @@
 /// The number of peers up to which [`MIN_INTERVAL`] applies, and by which it grows.
 const PEERS_PER_STEP: u32 = 4;
 
-/// The longest wait for a change before a datagram is sent, so that a peer's silence is detected.
+/// The longest wait for a change before a datagram is sent, so that peers detect the loss of an
+/// entry.
 const KEEPALIVE: Duration = Duration::from_millis(250);
 
 /// The size of the receive buffer in bytes: no datagram can be larger.
@@ -177,7 +179,7 @@
         }
         let pause = Duration::from_millis(row.pause_ms.into()).min(MAX_REPORTED_PAUSE);
         if let Some(target) = shared.fleet().by_key(row.target).filter(|_| !pause.is_zero()) {
-            target.note_pause_elsewhere(now + pause);
+            target.record_peer_pause(now + pause);
         }
     }
 }
@@ -186,11 +188,11 @@
     match payload {
         Payload::PrefillRequest(_) | Payload::DecodeRequest(_) | Payload::PermitRequest(_) => {
             if let Some(response) = coordination::respond(shared, &payload) {
-                shared.post.send(Payload::Response(response), from);
+                shared.peer_socket.send(Payload::Response(response), from);
             }
         }
         Payload::Response(response) => {
-            if let Err(response) = shared.post.deliver(response) {
+            if let Err(response) = shared.peer_socket.deliver(response) {
                 release_unused(shared, &response, from);
             }
         }
@@ -210,5 +212,5 @@
     let Some(Decision::Granted(granted)) = response.decision else { return };
     let Granted { engine, .. } = granted;
     let report = Report { reservation: response.reservation, engine, ..Report::default() };
-    shared.post.send(Payload::Report(report), from);
+    shared.peer_socket.send(Payload::Report(report), from);
 }
--- a/crates/direct/src/targets/attempt.rs
+++ b/crates/direct/src/targets/attempt.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub enum Outcome {
     /// The target responded, possibly with an error of its own.
-    Answered(Box<Answered>),
+    Responded(Box<Responded>),
     /// The target reported that it did not and will not run the request.
     NotRun(StatusCode),
     /// Nothing reached the target.
@@ -35,8 +35,8 @@
     /// The name in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            Self::Answered(answered) if answered.response.status().is_success() => "ok",
-            Self::Answered(_) => "failed",
+            Self::Responded(responded) if responded.response.status().is_success() => "ok",
+            Self::Responded(_) => "failed",
             Self::NotRun(_) => "refused",
             Self::NotSent(_) => "not-sent",
             Self::Unknown(_) => "unknown",
@@ -50,7 +50,7 @@
     /// Whether the target ran the request, or may have.
     pub fn may_have_run(&self) -> bool {
         match self {
-            Self::Answered(_) | Self::Unknown(_) | Self::TimedOut => true,
+            Self::Responded(_) | Self::Unknown(_) | Self::TimedOut => true,
             Self::NotRun(_) | Self::NotSent(_) | Self::Closed(_) => false,
         }
     }
@@ -58,7 +58,7 @@
 
 /// A target's response, whose body is still to be read.
 #[derive(Debug)]
-pub struct Answered {
+pub struct Responded {
     /// The head, and the body as a stream.
     pub response: Response<Incoming>,
     /// The decoded head.
@@ -78,11 +78,11 @@
     pub deadline: Instant,
 }
 
-/// Sends `content` to `target` and waits for the head of the response.
+/// Sends `buffered` to `target` and waits for the head of the response.
 pub async fn send(
     codec: &dyn Codec,
     target: &Arc<Target>,
-    content: &BufferedRequest,
+    buffered: &BufferedRequest,
     head: &AttemptHead,
     bounds: &Bounds,
 ) -> Outcome {
@@ -108,7 +108,7 @@
             return Outcome::Closed(closed);
         }
         counted = true;
-        let request = request(codec, content, head);
+        let request = request(codec, buffered, head);
         let (reused, sent) = (connection.reused, Instant::now());
         match timeout_at(bounds.deadline, connection.sender.try_send_request(request)).await {
             Err(_) => {
@@ -201,13 +201,13 @@
 
 fn request(
     codec: &dyn Codec,
-    content: &BufferedRequest,
+    buffered: &BufferedRequest,
     head: &AttemptHead,
 ) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(content.body.clone()));
-    *request.method_mut() = content.method.clone();
-    *request.uri_mut() = content.path.clone();
-    *request.headers_mut() = codec.attempt_headers(&content.headers, head);
+    let mut request = Request::new(Full::new(buffered.body.clone()));
+    *request.method_mut() = buffered.method.clone();
+    *request.uri_mut() = buffered.path.clone();
+    *request.headers_mut() = codec.attempt_headers(&buffered.headers, head);
     request
 }
 
@@ -223,9 +223,9 @@
     let status = response.status();
     let response_head = codec.decode_response(status, response.headers());
     let refused = response_head.not_run || status == StatusCode::MISDIRECTED_REQUEST;
-    let belongs_elsewhere =
+    let is_for_other_request =
         response_head.attempt_id.is_some() && response_head.attempt_id != head.attempt_id;
-    if belongs_elsewhere {
+    if is_for_other_request {
         // A duplicate or late response arrived in place of this one. The connection is dropped, and
         // the right response with it, since the responses on it can no longer be matched to
         // requests.
@@ -241,7 +241,8 @@
     }
     if refused {
         if status == StatusCode::MISDIRECTED_REQUEST {
-            log::info!(target: "fleet", target_id = target.id.as_str(); "another answers in its place");
+            log::info!(target: "fleet", target_id = target.id.as_str();
+                "another answers in its place");
             target.mark_misdirected(now);
         }
         drain(response, connection, response_head);
@@ -249,7 +250,7 @@
     }
     let health = if status.is_server_error() { Health::Failing } else { Health::Healthy };
     target.record_health(health, now);
-    Outcome::Answered(Box::new(Answered { response, head: response_head, connection }))
+    Outcome::Responded(Box::new(Responded { response, head: response_head, connection }))
 }
 
 /// The largest body of a refusal, in bytes, that is read so that its connection can be reused.
