--- a/crates/admin/tests/operators.rs
+++ b/crates/admin/tests/operators.rs
@@ -175,7 +175,7 @@
     results.push(client.delete(Kind::Model, "m", None).await.map(drop));
     results.push(client.get(Kind::Model, "m").await.map(drop));
     results.push(client.explain("r2").await.map(drop));
-    setup.log.set_out(true);
+    setup.log.set_unavailable(true);
     results.push(client.apply(&model(1), None).await.map(drop));
     let messages: Vec<_> = results
         .into_iter()
--- a/crates/agent/tests/calls.rs
+++ b/crates/agent/tests/calls.rs
@@ -210,7 +210,7 @@
     let harness = Harness::default();
     let (service, _agent) = start_ledger(&harness).await;
     let mut entry = harness.entry("entry-1", "ledger-1").await;
-    harness.log.set_out(true);
+    harness.log.set_unavailable(true);
     let refusal = call(&mut entry, 1, transfer("r1", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.reason, "log-unavailable");
     assert_eq!(refusal.progress(), Progress::NotRun);
@@ -219,7 +219,7 @@
     let mut entry = harness.entry("entry-1", "ledger-1").await;
     let refusal = call(&mut entry, 2, transfer("r2", "desk", "t-1", "5")).await.refused();
     assert_eq!(refusal.progress(), Progress::NotRun);
-    harness.log.set_out(false);
+    harness.log.set_unavailable(false);
     tokio::time::sleep(Duration::from_secs(20)).await;
     assert_eq!(total_runs(&service), 0);
     let mut entry = harness.entry("entry-1", "ledger-1").await;
--- a/crates/agent/tests/common/mod.rs
+++ b/crates/agent/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use compact_str::format_compact;
 use conf::{Kind, settings};
-use fake::{EngineModel, MemoryEngine, MemoryLog};
+use fake::{EngineParams, MemoryEngine, MemoryLog};
 use serde_json::{Value, json};
 use state::Appender;
 use state::record::{Body as RecordBody, Change};
@@ -57,7 +57,7 @@
 
     /// Starts an engine with `slots` slots and its agent, and publishes its resource.
     pub async fn engine(&self, name: &str, slots: u32) -> (MemoryEngine, Agent) {
-        let model = EngineModel { slots, ..EngineModel::default() };
+        let model = EngineParams { slots, ..EngineParams::default() };
         let engine = MemoryEngine::new(model, &[MODEL]);
         self.publish(Kind::Model, MODEL, json!({})).await;
         self.publish(Kind::Target, name, engine_spec(name, slots)).await;
--- a/crates/agent/tests/orders.rs
+++ b/crates/agent/tests/orders.rs
@@ -5,7 +5,7 @@
 use common::{Harness, MODEL, prompt, settle};
 use conf::Kind;
 use conf::resource::Role;
-use fake::{EngineModel, MemoryEngine};
+use fake::{EngineParams, MemoryEngine};
 use serde_json::json;
 use state::Appender;
 use state::record::{Body, Claim, Order, OrderKind};
@@ -139,7 +139,7 @@
 #[tokio::test(start_paused = true)]
 async fn agent_that_restarts_during_a_role_change_sends_no_second_order() {
     let harness = Harness::default();
-    let model = EngineModel { role_change: Duration::from_secs(120), ..EngineModel::default() };
+    let model = EngineParams { role_change: Duration::from_secs(120), ..EngineParams::default() };
     let engine = MemoryEngine::new(model, &[MODEL]);
     harness.publish(Kind::Model, MODEL, json!({})).await;
     let mut spec = common::engine_spec("engine-1", 4);
--- a/crates/agent/tests/paused.rs
+++ b/crates/agent/tests/paused.rs
@@ -128,7 +128,7 @@
 #[tokio::test(start_paused = true)]
 async fn agent_paused_beyond_its_lease_sends_no_order() {
     let harness = Harness::default();
-    let engine = MemoryEngine::new(fake::EngineModel::default(), &[common::MODEL]);
+    let engine = MemoryEngine::new(fake::EngineParams::default(), &[common::MODEL]);
     engine.change(|model| model.checks_fencing = false);
     harness.publish(Kind::Model, common::MODEL, json!({})).await;
     harness.publish(Kind::Target, "engine-1", engine_spec("engine-1", 4)).await;
--- a/crates/cli/src/dev.rs
+++ b/crates/cli/src/dev.rs
@@ -2,8 +2,8 @@
 
 use crate::daemons::{Bound, stop_on_signal, vm_list};
 use crate::{logs, runtime};
-use ::fake::http::{Serving, control_router};
-use ::fake::{EngineModel, MemoryEngine, MemoryLog, MemoryService, MemoryVms, MemoryWeights};
+use ::fake::http::{BoundServer, control_router};
+use ::fake::{EngineParams, MemoryEngine, MemoryLog, MemoryService, MemoryVms, MemoryWeights};
 use agent::Backend;
 use clap::{Arg, ArgMatches, Command, value_parser};
 use compact_str::{CompactString, ToCompactString, format_compact};
@@ -111,7 +111,7 @@
         self.publish(Kind::Caller, "desk", caller).await?;
         for number in 1..=4 {
             let name = format_compact!("engine-{number}");
-            let engine = Arc::new(MemoryEngine::new(EngineModel::default(), &["lapis-small"]));
+            let engine = Arc::new(MemoryEngine::new(EngineParams::default(), &["lapis-small"]));
             let routes = ::fake::http::engine_router(engine.clone());
             let address = serve(control_router(engine, routes)).await?;
             self.targets.push((name.clone(), address.clone()));
@@ -268,7 +268,7 @@
 
 /// Serves a stand-in on a free port of loopback and returns its address.
 async fn serve(router: salvo::Router) -> Result<CompactString> {
-    let serving = Serving::bind("127.0.0.1:0", router).await?;
+    let serving = BoundServer::bind("127.0.0.1:0", router).await?;
     let address = serving.address.to_compact_string();
     tokio::spawn(serving.run());
     Ok(address)
--- a/crates/cli/src/fake.rs
+++ b/crates/cli/src/fake.rs
@@ -2,9 +2,9 @@
 
 use crate::daemons::stop_on_signal;
 use crate::{logs, runtime};
-use ::fake::http::{Serving, control_router};
+use ::fake::http::{BoundServer, control_router};
 use ::fake::{
-    Control, EngineModel, MemoryEngine, MemoryLog, MemoryService, MemoryVms, MemoryWeights,
+    Control, EngineParams, MemoryEngine, MemoryLog, MemoryService, MemoryVms, MemoryWeights,
 };
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use eyre::{Result, WrapErr, eyre};
@@ -108,7 +108,7 @@
         let (control, routes) = stand_in(name, matches)?;
         control.set(faults(matches)?).wrap_err("--fault")?;
         let listen: &String = matches.get_one("listen").ok_or_else(|| eyre!("no address"))?;
-        let serving = Serving::bind(listen, control_router(control, routes)).await;
+        let serving = BoundServer::bind(listen, control_router(control, routes)).await;
         let serving = serving.wrap_err_with(|| format!("listen at {listen}"))?;
         println!("{name}: http://{}", serving.address);
         tokio::select! {
@@ -146,10 +146,10 @@
 }
 
 fn engine(matches: &ArgMatches) -> MemoryEngine {
-    let default = EngineModel::default();
+    let default = EngineParams::default();
     let slots = matches.get_one::<u32>("slots").copied().unwrap_or(default.slots);
     let serves = matches.get_many::<String>("serve").unwrap_or_default().map(String::as_str);
-    MemoryEngine::new(EngineModel { slots, ..default }, &serves.collect::<Vec<_>>())
+    MemoryEngine::new(EngineParams { slots, ..default }, &serves.collect::<Vec<_>>())
 }
 
 fn weights(matches: &ArgMatches) -> Result<MemoryWeights> {
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -1,7 +1,7 @@
 //! `lapismast load FILE`: sends a mix of requests to entries and reports what callers received.
 
 use crate::{exit, runtime};
-use ::load::{Aim, Mix};
+use ::load::{Endpoints, Mix};
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
 use compact_str::CompactString;
 use eyre::{Result, WrapErr, bail, eyre};
@@ -92,7 +92,7 @@
         let all = matches.get_many::<String>(name).unwrap_or_default();
         all.filter(|address| !address.is_empty()).map(CompactString::from).collect()
     };
-    let aim = Aim {
+    let aim = Endpoints {
         entries: list("entries"),
         direct: list("direct"),
         services: list("services"),
--- a/crates/fake/src/control.rs
+++ b/crates/fake/src/control.rs
@@ -37,7 +37,7 @@
 impl Control for MemoryLog {
     fn set(&self, faults: Value) -> serde_json::Result<()> {
         let faults: LogFaults = serde_json::from_value(faults)?;
-        faults.out.into_iter().for_each(|out| self.set_out(out));
+        faults.out.into_iter().for_each(|out| self.set_unavailable(out));
         faults.delay.into_iter().for_each(|delay| self.set_delay(delay));
         faults.lose_replies.into_iter().for_each(|count| self.lose_replies(count));
         faults.retention.into_iter().for_each(|retention| self.set_retention(retention));
@@ -60,7 +60,7 @@
 impl Control for MemoryWeights {
     fn set(&self, faults: Value) -> serde_json::Result<()> {
         let faults: WeightsFaults = serde_json::from_value(faults)?;
-        faults.out.into_iter().for_each(|out| self.set_out(out));
+        faults.out.into_iter().for_each(|out| self.set_unavailable(out));
         faults.calls_per_second.into_iter().for_each(|calls| self.limit(calls));
         Ok(())
     }
@@ -85,7 +85,7 @@
 impl Control for MemoryVms {
     fn set(&self, faults: Value) -> serde_json::Result<()> {
         let faults: VmsFaults = serde_json::from_value(faults)?;
-        faults.out.into_iter().for_each(|out| self.set_out(out));
+        faults.out.into_iter().for_each(|out| self.set_unavailable(out));
         faults.lag.into_iter().for_each(|lag| self.set_lag(lag));
         faults.vms.into_iter().for_each(|vms| self.set(vms));
         Ok(())
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -21,7 +21,7 @@
 
 /// Speeds and faults of a stand-in engine.
 #[derive(Debug, Clone)]
-pub struct EngineModel {
+pub struct EngineParams {
     /// Prompt tokens a second; prompts are read one after another.
     pub prefill_rate: u32,
     /// Time between two tokens of one job when it runs alone.
@@ -46,7 +46,7 @@
     pub interference: f64,
 }
 
-impl Default for EngineModel {
+impl Default for EngineParams {
     fn default() -> Self {
         Self {
             prefill_rate: 20_000,
@@ -64,7 +64,7 @@
     }
 }
 
-impl EngineModel {
+impl EngineParams {
     /// Time to read `tokens` tokens of a prompt in a role.
     fn prefill_time(&self, role: Role, tokens: u32) -> Duration {
         let speed = match role {
@@ -98,7 +98,7 @@
 }
 
 struct Inner {
-    model: EngineModel,
+    model: EngineParams,
     status: Status,
     cancelled: HashSet<CompactString>,
     imported: HashMap<CompactString, Bytes>,
@@ -113,7 +113,7 @@
 
 impl MemoryEngine {
     /// Makes an engine that serves the names in `serves`.
-    pub fn new(model: EngineModel, serves: &[&str]) -> Self {
+    pub fn new(model: EngineParams, serves: &[&str]) -> Self {
         let serves = serves.iter().map(|name| name.to_compact_string()).collect();
         let status = Status { serves, incarnation: 1, ..Status::default() };
         let slots = Arc::new(Semaphore::new(usize::try_from(model.slots).unwrap_or(usize::MAX)));
@@ -139,7 +139,7 @@
     }
 
     /// Changes speeds and faults.
-    pub fn change(&self, change: impl FnOnce(&mut EngineModel)) {
+    pub fn change(&self, change: impl FnOnce(&mut EngineParams)) {
         change(&mut self.lock().model);
     }
 
@@ -193,12 +193,12 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn up(&self, step: &'static str) -> Result<EngineModel> {
+    fn up(&self, step: &'static str) -> Result<EngineParams> {
         let inner = self.lock();
         if inner.down { Err(not_reached(step)) } else { Ok(inner.model.clone()) }
     }
 
-    fn admit(&self, job: &Job) -> Result<EngineModel> {
+    fn admit(&self, job: &Job) -> Result<EngineParams> {
         let model = self.up("generate")?;
         let inner = self.lock();
         let unserved = !inner.status.serves.contains(&job.serve);
@@ -210,7 +210,7 @@
     }
 
     /// Waits for a slot and reads the prompt; returns the cached tokens.
-    async fn prefill(&self, job: &Job, model: &EngineModel) -> u32 {
+    async fn prefill(&self, job: &Job, model: &EngineParams) -> u32 {
         let prompt_tokens = tokens_of(&job.prompt);
         let prefix = xxhash_rust::xxh3::xxh3_64(head_of(&job.prompt).as_bytes());
         let imported = self.lock().imported.remove(&job.id).is_some();
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -20,14 +20,14 @@
 pub use weights::weights_router;
 
 /// A stand-in's server, bound but not yet running.
-pub struct Serving {
+pub struct BoundServer {
     acceptor: TcpAcceptor,
     router: Router,
     /// The address really bound.
     pub address: SocketAddr,
 }
 
-impl Serving {
+impl BoundServer {
     /// Binds `address`, `host:port`; port 0 takes a free one.
     pub async fn bind(address: &str, router: Router) -> io::Result<Self> {
         let socket = wire::listen(address).await?;
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -12,7 +12,7 @@
 mod weights;
 
 pub use control::Control;
-pub use engine::{EngineModel, MemoryEngine, TOKEN_BYTES, answer};
+pub use engine::{EngineParams, MemoryEngine, TOKEN_BYTES, answer};
 pub use log::MemoryLog;
 pub use service::MemoryService;
 pub use vms::MemoryVms;
--- a/crates/fake/src/log.rs
+++ b/crates/fake/src/log.rs
@@ -44,7 +44,7 @@
     }
 
     /// Takes the log out of service, or puts it back.
-    pub fn set_out(&self, out: bool) {
+    pub fn set_unavailable(&self, out: bool) {
         self.lock().out = out;
         self.grown.notify_waiters();
     }
@@ -60,7 +60,7 @@
     }
 
     /// Loses the replies of the next `count` appends, and writes only `delay` later.
-    pub fn land_late(&self, count: u32, delay: Duration) {
+    pub fn delay_writes(&self, count: u32, delay: Duration) {
         self.lock().late = (count, delay);
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Drops the records before `offset`, as a log does that forgets its history.
-    pub fn forget(&self, stream: &str, offset: Offset) {
+    pub fn truncate_before(&self, stream: &str, offset: Offset) {
         let mut inner = self.lock();
         let Some(kept) = inner.streams.get_mut(stream) else { return };
         while kept.first < offset && kept.records.pop_front().is_some() {
--- a/crates/fake/src/vms.rs
+++ b/crates/fake/src/vms.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes the list out of service, or puts it back.
-    pub fn set_out(&self, out: bool) {
+    pub fn set_unavailable(&self, out: bool) {
         self.lock().out = out;
     }
 
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -37,7 +37,7 @@
     }
 
     /// Takes the store out of service, or puts it back.
-    pub fn set_out(&self, out: bool) {
+    pub fn set_unavailable(&self, out: bool) {
         self.lock().out = out;
     }
 
--- a/crates/fake/tests/control.rs
+++ b/crates/fake/tests/control.rs
@@ -2,15 +2,15 @@
 
 use bytes::Bytes;
 use compact_str::ToCompactString;
-use fake::http::{Serving, control_router, engine_router, service_router};
-use fake::{Control, EngineModel, MemoryEngine, MemoryService};
+use fake::http::{BoundServer, control_router, engine_router, service_router};
+use fake::{Control, EngineParams, MemoryEngine, MemoryService};
 use serde_json::json;
 use std::sync::Arc;
 use target::http::{HttpEngine, HttpService};
 use target::{Call, Engine, Error, Job, Order, Service};
 
 async fn serve(router: salvo::Router) -> compact_str::CompactString {
-    let serving = Serving::bind("127.0.0.1:0", router).await.expect("loopback can be bound");
+    let serving = BoundServer::bind("127.0.0.1:0", router).await.expect("loopback can be bound");
     let address = serving.address.to_compact_string();
     tokio::spawn(serving.run());
     address
@@ -43,7 +43,7 @@
 
 #[tokio::test]
 async fn an_engine_that_crashes_while_it_carries_out_an_order_leaves_no_answer() {
-    let engine = MemoryEngine::new(EngineModel::default(), &["m"]);
+    let engine = MemoryEngine::new(EngineParams::default(), &["m"]);
     let address = serve(engine_router(Arc::new(engine.clone()))).await;
     let client = HttpEngine::new(address);
     let order = tokio::spawn(async move {
@@ -88,7 +88,7 @@
 async fn an_engine_is_fast_at_the_work_of_its_role_and_slow_at_other_work() {
     let mut seen = Vec::new();
     for role in ["mixed", "prefill", "decode"] {
-        let engine = MemoryEngine::new(EngineModel::default(), &["m"]);
+        let engine = MemoryEngine::new(EngineParams::default(), &["m"]);
         let order = serde_json::from_value(json!({"kind": "set-role", "role": role}));
         engine.order(1, &order.expect("the role is known")).await.expect("the engine is up");
         seen.push((role, time_of(&engine, 80_000, 0).await, time_of(&engine, 4, 100).await));
--- a/crates/itest/examples/latency.rs
+++ b/crates/itest/examples/latency.rs
@@ -9,7 +9,7 @@
 use compact_str::{CompactString, ToCompactString};
 use conf::{Kind, settings};
 use fake::MemoryService;
-use fake::http::Serving;
+use fake::http::BoundServer;
 use futures_util::stream;
 use http_body_util::{BodyExt, Full};
 use hyper_util::client::legacy::Client;
@@ -144,7 +144,7 @@
 }
 
 async fn serve(router: salvo::Router) -> CompactString {
-    let serving = Serving::bind("127.0.0.1:0", router).await.expect("a free port");
+    let serving = BoundServer::bind("127.0.0.1:0", router).await.expect("a free port");
     let address = serving.address.to_compact_string();
     tokio::spawn(serving.run());
     address
--- a/crates/itest/src/lib.rs
+++ b/crates/itest/src/lib.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use compact_str::{CompactString, format_compact};
 use conf::{Kind, settings};
-use fake::{EngineModel, MemoryEngine, MemoryLog, MemoryService, MemoryVms};
+use fake::{EngineParams, MemoryEngine, MemoryLog, MemoryService, MemoryVms};
 use http_body_util::BodyExt;
 use salvo::http::uri::Scheme;
 use serde_json::{Value, json};
@@ -20,7 +20,7 @@
 use tokio_util::sync::CancellationToken;
 use wire::MemoryNetwork;
 
-pub use script::{Script, Wire};
+pub use script::{ScriptedAgent, ScriptedConnection};
 pub use transcript::{Transcript, describe};
 
 /// The secret between the fleet's processes.
@@ -85,7 +85,7 @@
 
     /// Adds an engine of the usual speed with its agent, and its resource.
     pub async fn add_engine(&self, name: &str, domain: &str) -> (MemoryEngine, Agent) {
-        let engine = MemoryEngine::new(EngineModel::default(), &[MODEL]);
+        let engine = MemoryEngine::new(EngineParams::default(), &[MODEL]);
         let spec = json!({"models": [MODEL], "domain": domain, "agent": agent_address(name)});
         self.publish(Kind::Target, name, spec).await;
         let agent = self.start_agent(name, domain, Backend::Engine(Arc::new(engine.clone())));
@@ -111,25 +111,30 @@
     }
 
     /// Adds an engine whose agent does what the test tells it to.
-    pub async fn add_script(&self, name: &str, domain: &str) -> Script {
+    pub async fn add_scripted_engine(&self, name: &str, domain: &str) -> ScriptedAgent {
         let spec = json!({"models": [MODEL], "domain": domain, "agent": agent_address(name)});
         self.publish(Kind::Target, name, spec).await;
-        self.listen_script(name)
+        self.listen_scripted(name)
     }
 
     /// Adds an instance of a plain service whose agent does what the test tells it to.
-    pub async fn add_service_script(&self, service: &str, name: &str, repeatable: bool) -> Script {
+    pub async fn add_scripted_service(
+        &self,
+        service: &str,
+        name: &str,
+        repeatable: bool,
+    ) -> ScriptedAgent {
         let agent = agent_address(name);
         let spec = json!({
             "service": service, "domain": "sofia-1", "agent": agent, "repeatable": repeatable,
         });
         self.publish(Kind::Target, name, spec).await;
-        self.listen_script(name)
+        self.listen_scripted(name)
     }
 
     /// Starts a scripted agent of the target `name` that the fleet has already.
-    pub fn listen_script(&self, name: &str) -> Script {
-        Script::new(name, self.network.listen(&agent_address(name)), PEER_KEY)
+    pub fn listen_scripted(&self, name: &str) -> ScriptedAgent {
+        ScriptedAgent::new(name, self.network.listen(&agent_address(name)), PEER_KEY)
     }
 
     /// Starts the agent of the target `name`; also anew, after a crash.
--- a/crates/itest/src/script.rs
+++ b/crates/itest/src/script.rs
@@ -11,14 +11,14 @@
 };
 
 /// Where the scripted agent of one target listens.
-pub struct Script {
+pub struct ScriptedAgent {
     target: String,
     listener: MemoryListener,
     key: Key,
 }
 
 /// A connection from an entry to a scripted agent.
-pub struct Wire {
+pub struct ScriptedConnection {
     target: String,
     frames: mpsc::UnboundedReceiver<Body>,
     outbox: mpsc::UnboundedSender<Frame>,
@@ -29,23 +29,23 @@
 /// How long a test waits for a frame before it fails.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-impl Script {
+impl ScriptedAgent {
     pub(crate) fn new(target: &str, listener: MemoryListener, key: &str) -> Self {
         let key = Key::new(Bytes::copy_from_slice(key.as_bytes()));
         Self { target: target.to_owned(), listener, key }
     }
 
     /// Takes the next connection, with a target that says in its load that it has room, or not.
-    pub async fn accept(&mut self, room: bool) -> Wire {
+    pub async fn accept(&mut self, room: bool) -> ScriptedConnection {
         self.take(room, "mixed").await
     }
 
     /// Takes the next connection, with a target that has room and this role.
-    pub async fn accept_as(&mut self, role: &str) -> Wire {
+    pub async fn accept_as(&mut self, role: &str) -> ScriptedConnection {
         self.take(true, role).await
     }
 
-    async fn take(&mut self, room: bool, role: &str) -> Wire {
+    async fn take(&mut self, room: bool, role: &str) -> ScriptedConnection {
         let accepted = tokio::time::timeout(PATIENCE, self.listener.accept()).await;
         let (pipe, peer) = accepted.expect("a connection in time").expect("the network is up");
         let mut connection = Connection::new(pipe, peer);
@@ -65,7 +65,7 @@
         };
         let frozen = CancellationToken::new();
         let task = tokio::spawn(serve(connection, load, frames_in, frames_out, frozen.clone()));
-        Wire { target: self.target.clone(), frames, outbox, frozen, task }
+        ScriptedConnection { target: self.target.clone(), frames, outbox, frozen, task }
     }
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-impl Wire {
+impl ScriptedConnection {
     /// The next frame that is no ping.
     pub async fn next(&mut self) -> Body {
         let next = tokio::time::timeout(PATIENCE, self.frames.recv()).await;
@@ -114,7 +114,7 @@
     }
 
     /// The next frame, which must be a submission.
-    pub async fn submit(&mut self) -> Submit {
+    pub async fn next_submit(&mut self) -> Submit {
         match self.next().await {
             Body::Submit(submit) => submit,
             other => panic!("{}: expected a submission, got {other:?}", self.target),
--- a/crates/itest/tests/answers.rs
+++ b/crates/itest/tests/answers.rs
@@ -1,6 +1,6 @@
 //! One whole answer for each prompt, whatever happens to the attempts at it.
 
-use itest::{Answer, Fleet, MODEL, Script, Wire, post, stream_chat, text_of};
+use itest::{Answer, Fleet, MODEL, ScriptedAgent, ScriptedConnection, post, stream_chat, text_of};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,24 +15,27 @@
 }
 
 /// A fleet of two scripted engines and one entry that knows their load.
-async fn two_scripts(room: bool) -> (Fleet, Arc<entry::Entry>, Script, Wire, Script, Wire) {
+async fn two_scripts(
+    room: bool,
+) -> (Fleet, Arc<entry::Entry>, ScriptedAgent, ScriptedConnection, ScriptedAgent, ScriptedConnection)
+{
     let fleet = Fleet::new().await;
-    let mut one = fleet.add_script("engine-1", "sofia-1").await;
-    let mut two = fleet.add_script("engine-2", "sofia-1").await;
+    let mut one = fleet.add_scripted_engine("engine-1", "sofia-1").await;
+    let mut two = fleet.add_scripted_engine("engine-2", "sofia-1").await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let (wire_one, wire_two) = (one.accept(room).await, two.accept(room).await);
+    let (connection_one, connection_two) = (one.accept(room).await, two.accept(room).await);
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    (fleet, entry, one, wire_one, two, wire_two)
+    (fleet, entry, one, connection_one, two, connection_two)
 }
 
 /// Which of the two got the submission, and the other.
 async fn first<'a>(
-    one: &'a mut Wire,
-    two: &'a mut Wire,
-) -> (wire::Submit, &'a mut Wire, &'a mut Wire) {
+    one: &'a mut ScriptedConnection,
+    two: &'a mut ScriptedConnection,
+) -> (wire::Submit, &'a mut ScriptedConnection, &'a mut ScriptedConnection) {
     tokio::select! {
-        submit = one.submit() => (submit, one, two),
-        submit = two.submit() => (submit, two, one),
+        submit = one.next_submit() => (submit, one, two),
+        submit = two.next_submit() => (submit, two, one),
     }
 }
 
@@ -56,7 +59,7 @@
     bad.token(submit.attempt, 0, "A");
     bad.token(submit.attempt, 0, "A");
     bad.token(submit.attempt, 2, "C");
-    let again = good.submit().await;
+    let again = good.next_submit().await;
     assert_eq!(resumed(&again), (1, "A".to_owned()));
     good.token(again.attempt, 1, "B");
     good.token(again.attempt, 2, "C");
@@ -78,7 +81,7 @@
     let (submit, bad, good) = first(&mut one, &mut two).await;
     bad.token(submit.attempt, 0, "A");
     bad.end(submit.attempt, 2);
-    let again = good.submit().await;
+    let again = good.next_submit().await;
     good.token(again.attempt, 1, "B");
     good.end(again.attempt, 2);
     assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
@@ -89,21 +92,21 @@
 #[tokio::test(start_paused = true)]
 async fn late_frames_of_an_abandoned_attempt_are_dropped() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn(async move { chat(&entry).await });
-    let late = wire.submit().await;
-    wire.refuse(late.attempt, "queue-full", Progress::NotRun);
-    let again = wire.submit().await;
+    let late = connection.next_submit().await;
+    connection.refuse(late.attempt, "queue-full", Progress::NotRun);
+    let again = connection.next_submit().await;
     assert_ne!(late.attempt, again.attempt);
-    wire.token(late.attempt, 0, "X");
-    wire.token(again.attempt, 0, "A");
-    wire.token(late.attempt, 1, "Y");
-    wire.end(late.attempt, 2);
-    wire.token(again.attempt, 1, "B");
-    wire.end(again.attempt, 2);
+    connection.token(late.attempt, 0, "X");
+    connection.token(again.attempt, 0, "A");
+    connection.token(late.attempt, 1, "Y");
+    connection.end(late.attempt, 2);
+    connection.token(again.attempt, 1, "B");
+    connection.end(again.attempt, 2);
     assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
 }
 
@@ -144,7 +147,7 @@
     tokio::time::sleep(Duration::from_millis(10)).await;
     paused.freeze();
     let begun = tokio::time::Instant::now();
-    let again = good.submit().await;
+    let again = good.next_submit().await;
     assert!(begun.elapsed() < Duration::from_secs(5), "took {:?}", begun.elapsed());
     good.token(again.attempt, 1, "B");
     good.end(again.attempt, 2);
@@ -160,7 +163,7 @@
         let entry = entry.clone();
         async move { chat(&entry).await }
     });
-    let (left, right) = (one.submit().await, two.submit().await);
+    let (left, right) = (one.next_submit().await, two.next_submit().await);
     assert!(left.hold && right.hold);
     two.offer(right.attempt);
     assert!(matches!(two.next().await, Body::Begin(begin) if begin.attempt == right.attempt));
@@ -180,7 +183,7 @@
         let entry = entry.clone();
         async move { chat(&entry).await }
     });
-    let (_left, right) = (one.submit().await, two.submit().await);
+    let (_left, right) = (one.next_submit().await, two.next_submit().await);
     one.cut();
     tokio::time::sleep(Duration::from_millis(50)).await;
     two.offer(right.attempt);
@@ -203,13 +206,13 @@
         });
         fleet.publish(conf::Kind::Target, name, spec).await;
     }
-    let (mut one, mut two) = (fleet.listen_script("engine-1"), fleet.listen_script("engine-2"));
+    let (mut one, mut two) = (fleet.listen_scripted("engine-1"), fleet.listen_scripted("engine-2"));
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
     let mut prefill = one.accept_as("prefill").await;
     let mut decode = two.accept_as("decode").await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn(async move { chat(&entry).await });
-    let submit = prefill.submit().await;
+    let submit = prefill.next_submit().await;
     let prompt = |submit: &wire::Submit| match &submit.request.as_ref().expect("a request").work {
         Some(Work::Prompt(prompt)) => prompt.clone(),
         other => panic!("expected a prompt, got {other:?}"),
@@ -217,7 +220,7 @@
     assert!(prompt(&submit).prefill_only);
     prefill.token(submit.attempt, 0, "A");
     prefill.end_early(submit.attempt, 1);
-    let again = decode.submit().await;
+    let again = decode.next_submit().await;
     let went_on = prompt(&again);
     assert_eq!((went_on.resume_tokens, went_on.kv_source.as_str()), (1, "engine-1"));
     assert!(!went_on.prefill_only);
--- a/crates/itest/tests/callers.rs
+++ b/crates/itest/tests/callers.rs
@@ -79,9 +79,9 @@
 #[tokio::test(start_paused = true)]
 async fn headers_of_one_connection_pass_neither_way() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_service_script("ledger", "ledger-1", true).await;
+    let mut script = fleet.add_scripted_service("ledger", "ledger-1", true).await;
     let entry = std::sync::Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -96,15 +96,15 @@
             call(&entry, &headers, "x").await
         }
     });
-    let submit = wire.submit().await;
+    let submit = connection.next_submit().await;
     let Some(Work::Call(seen)) = submit.request.expect("a request").work else {
         panic!("expected a call")
     };
     let names: Vec<_> = seen.headers.iter().map(|header| header.name.as_str()).collect();
     assert_eq!(names, ["x-yours"]);
     let back = [("connection", "x-theirs"), ("x-theirs", "1"), ("upgrade", "h2c"), ("x-ours", "2")];
-    wire.head(submit.attempt, &back);
-    wire.end(submit.attempt, 0);
+    connection.head(submit.attempt, &back);
+    connection.end(submit.attempt, 0);
     let answer = asking.await.expect("answered");
     let names: Vec<_> = answer.headers.iter().map(|(name, _)| name.as_str()).collect();
     assert_eq!(names, ["x-ours", "x-request-id"]);
@@ -115,27 +115,27 @@
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_vanishes_frees_the_engine_at_once() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = std::sync::Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
         async move { stream_chat(&entry, &[], "hello").await }
     });
-    let submit = wire.submit().await;
-    wire.token(submit.attempt, 0, "A");
+    let submit = connection.next_submit().await;
+    connection.token(submit.attempt, 0, "A");
     let (_, mut stream) = asking.await.expect("answered");
     assert!(stream.next().await.is_some());
     drop(stream);
-    let cancel = wire.next_within(Duration::from_millis(100)).await;
+    let cancel = connection.next_within(Duration::from_millis(100)).await;
     assert!(matches!(cancel, Some(Body::Cancel(cancel)) if cancel.attempt == submit.attempt));
 
     // The same before the first token, when only the handler waits.
     let asking = tokio::spawn(async move { stream_chat(&entry, &[], "hello").await });
-    let submit = wire.submit().await;
+    let submit = connection.next_submit().await;
     asking.abort();
-    let cancel = wire.next_within(Duration::from_millis(100)).await;
+    let cancel = connection.next_within(Duration::from_millis(100)).await;
     assert!(matches!(cancel, Some(Body::Cancel(cancel)) if cancel.attempt == submit.attempt));
 }
 
@@ -144,18 +144,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_slow_reader_holds_up_nobody_and_is_given_up_in_the_end() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = std::sync::Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let slow = tokio::spawn({
         let entry = entry.clone();
         async move { stream_chat(&entry, &[], "slow").await }
     });
-    let submit = wire.submit().await;
+    let submit = connection.next_submit().await;
     // As many as the agent has credit for, and nothing is read of them.
     for token in 0..submit.credit {
-        wire.token(submit.attempt, token, "A");
+        connection.token(submit.attempt, token, "A");
     }
     let (_, mut unread) = slow.await.expect("answered");
 
@@ -163,9 +163,9 @@
         let entry = entry.clone();
         async move { stream_chat(&entry, &[], "other").await }
     });
-    let second = wire.submit().await;
-    wire.token(second.attempt, 0, "B");
-    wire.end(second.attempt, 1);
+    let second = connection.next_submit().await;
+    connection.token(second.attempt, 0, "B");
+    connection.end(second.attempt, 1);
     let (_, mut stream) = other.await.expect("answered");
     let mut events = String::new();
     while let Some(part) = stream.next().await {
@@ -173,7 +173,7 @@
     }
     assert_eq!(text_of(&events), "B");
 
-    let cancel = wire.next_within(Duration::from_secs(40)).await;
+    let cancel = connection.next_within(Duration::from_secs(40)).await;
     assert!(matches!(cancel, Some(Body::Cancel(cancel)) if cancel.attempt == submit.attempt));
     let mut last = None;
     while let Some(part) = unread.next().await {
@@ -187,24 +187,24 @@
 #[tokio::test(start_paused = true)]
 async fn an_agent_that_overruns_its_credit_loses_that_attempt_only() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = std::sync::Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = |text: &'static str| {
         let entry = entry.clone();
         tokio::spawn(async move { stream_chat(&entry, &[], text).await })
     };
     let slow = asking("slow");
-    let submit = wire.submit().await;
+    let submit = connection.next_submit().await;
     for token in 0..4 * submit.credit {
-        wire.token(submit.attempt, token, "A");
+        connection.token(submit.attempt, token, "A");
     }
     let (_, _unread) = slow.await.expect("answered");
     let other = asking("other");
-    let second = wire.submit().await;
-    wire.token(second.attempt, 0, "B");
-    wire.end(second.attempt, 1);
+    let second = connection.next_submit().await;
+    connection.token(second.attempt, 0, "B");
+    connection.end(second.attempt, 1);
     let answered = tokio::time::timeout(Duration::from_secs(5), other).await;
     let (_, mut stream) = answered.expect("in time").expect("answered");
     let first = stream.next().await.expect("a piece").expect("whole");
--- a/crates/itest/tests/cut_off.rs
+++ b/crates/itest/tests/cut_off.rs
@@ -19,7 +19,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_that_restarts_while_the_log_is_out_serves_from_an_agents_state() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let config = {
         let before = fleet.start_entry("entry-0", "sofia-1");
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -27,20 +27,20 @@
         drop(script.accept(true).await);
         config
     };
-    fleet.log.set_out(true);
+    fleet.log.set_unavailable(true);
     let mut context = fleet.entry_context("entry-1", "sofia-1");
     context.settings.peers = vec![itest::agent_address("engine-1")];
     let begun = tokio::time::Instant::now();
     let entry = Arc::new(entry::Entry::start(context));
-    let mut wire = script.accept(true).await;
-    let Body::Query(ask) = wire.next().await else { panic!("expected a question") };
+    let mut connection = script.accept(true).await;
+    let Body::Query(ask) = connection.next().await else { panic!("expected a question") };
     assert_eq!(ask.kind(), QueryKind::Snapshot);
     let older = Snapshot::of(plat::CONFIG_STREAM, &Config::default());
     let all = vec![
         Snapshot::of(plat::CONFIG_STREAM, &*config),
         Snapshot::of(plat::SYSTEM_STREAM, &System::default()),
     ];
-    wire.reply(ask.id, Snapshots { all }.bytes());
+    connection.reply(ask.id, Snapshots { all }.bytes());
     let serving = tokio::spawn({
         let entry = entry.clone();
         async move {
@@ -50,16 +50,18 @@
         }
     });
     let submit = loop {
-        match wire.next().await {
+        match connection.next().await {
             Body::Submit(submit) => break submit,
             // An older state, offered later, must not take the newer one's place.
-            Body::Query(ask) => wire.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes()),
+            Body::Query(ask) => {
+                connection.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes())
+            }
             other => panic!("unexpected {other:?}"),
         }
     };
     assert!(begun.elapsed() < Duration::from_secs(1), "served after {:?}", begun.elapsed());
-    wire.token(submit.attempt, 0, "A");
-    wire.end(submit.attempt, 1);
+    connection.token(submit.attempt, 0, "A");
+    connection.end(submit.attempt, 1);
     serving.await.expect("answered");
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(entry.config().borrow().end(), config.end());
@@ -97,9 +99,9 @@
 #[tokio::test(start_paused = true)]
 async fn a_load_that_comes_late_does_not_replace_a_newer_one() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = fleet.start_entry("entry-1", "sofia-1");
-    let wire = script.accept(true).await;
+    let connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     let load = |sequence, accepting| Load {
         target: "engine-1".to_owned(),
@@ -108,11 +110,11 @@
         accepting,
         ..Load::default()
     };
-    wire.load(load(1_000, false));
-    wire.load(load(999, true));
+    connection.load(load(1_000, false));
+    connection.load(load(999, true));
     tokio::time::sleep(Duration::from_millis(10)).await;
     assert_eq!(chat(&entry).await, 503);
-    wire.load(load(1_001, true));
+    connection.load(load(1_001, true));
     tokio::time::sleep(Duration::from_millis(10)).await;
     let asking = tokio::time::timeout(Duration::from_secs(1), chat(&entry));
     assert!(asking.await.is_err(), "it was submitted, and waits for the script");
--- a/crates/itest/tests/planned.rs
+++ b/crates/itest/tests/planned.rs
@@ -163,7 +163,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let loading = tokio::spawn(load(entry, 60, 300, Duration::from_secs(6)));
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fleet.log.set_out(true);
+    fleet.log.set_unavailable(true);
     tokio::time::sleep(Duration::from_secs(1)).await;
     one.crash();
     tokio::time::sleep(Duration::from_secs(2)).await;
--- a/crates/itest/tests/retention.rs
+++ b/crates/itest/tests/retention.rs
@@ -49,10 +49,10 @@
     let asking = entry.clone();
     let asking = tokio::spawn(async move { transfer(&asking, "t-1").await });
     tokio::time::sleep(Duration::from_millis(500)).await;
-    fleet.log.set_out(true);
+    fleet.log.set_unavailable(true);
     assert_eq!(asking.await.expect("answered").status, 200);
     tokio::time::sleep(7 * HOUR).await;
-    fleet.log.set_out(false);
+    fleet.log.set_unavailable(false);
     tokio::time::sleep(Duration::from_secs(30)).await;
     transfer(&entry, "t-1").await;
     assert_eq!(ledger.runs().values().copied().collect::<Vec<_>>(), [1]);
--- a/crates/itest/tests/services.rs
+++ b/crates/itest/tests/services.rs
@@ -35,15 +35,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_call_that_may_not_be_repeated_is_sent_once_and_its_loss_is_called_unknown() {
     let fleet = Fleet::new().await;
-    let mut one = fleet.add_service_script("ledger", "ledger-1", false).await;
-    let mut two = fleet.add_service_script("ledger", "ledger-2", false).await;
+    let mut one = fleet.add_scripted_service("ledger", "ledger-1", false).await;
+    let mut two = fleet.add_scripted_service("ledger", "ledger-2", false).await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
     let (mut one, mut two) = (one.accept(true).await, two.accept(true).await);
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn(async move { call(&entry, Some("t-1")).await });
     let (_submit, home, other) = tokio::select! {
-        submit = one.submit() => (submit, one, &mut two),
-        submit = two.submit() => (submit, two, &mut one),
+        submit = one.next_submit() => (submit, one, &mut two),
+        submit = two.next_submit() => (submit, two, &mut one),
     };
     home.cut();
     let answer = asking.await.expect("answered");
@@ -81,8 +81,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_key_has_the_same_home_through_all_entries() {
     let fleet = Fleet::new().await;
-    let mut one = fleet.add_service_script("ledger", "ledger-1", false).await;
-    let mut two = fleet.add_service_script("ledger", "ledger-2", false).await;
+    let mut one = fleet.add_scripted_service("ledger", "ledger-1", false).await;
+    let mut two = fleet.add_scripted_service("ledger", "ledger-2", false).await;
     let left = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
     let (mut one_left, mut two_left) = (one.accept(true).await, two.accept(true).await);
     let right = Arc::new(fleet.start_entry("entry-2", "sofia-2"));
@@ -95,12 +95,12 @@
         };
         let (a, b) = (asking(left.clone(), key.clone()), asking(right.clone(), key));
         let (home_left, seen) = tokio::select! {
-            submit = one_left.submit() => (1, submit),
-            submit = two_left.submit() => (2, submit),
+            submit = one_left.next_submit() => (1, submit),
+            submit = two_left.next_submit() => (2, submit),
         };
         let (home_right, seen_right) = tokio::select! {
-            submit = one_right.submit() => (1, submit),
-            submit = two_right.submit() => (2, submit),
+            submit = one_right.next_submit() => (1, submit),
+            submit = two_right.next_submit() => (2, submit),
         };
         assert_eq!(home_left, home_right);
         assert_eq!(key_of(&seen), key_of(&seen_right));
@@ -122,17 +122,17 @@
 #[tokio::test(start_paused = true)]
 async fn calls_without_a_key_get_one_each_that_no_caller_can_choose() {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_service_script("ledger", "ledger-1", false).await;
+    let mut script = fleet.add_scripted_service("ledger", "ledger-1", false).await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let mut wire = script.accept(true).await;
+    let mut connection = script.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let mut keys = Vec::new();
     for key in [None, None, Some("implicit-1")] {
         let entry = entry.clone();
         let asking = tokio::spawn(async move { call(&entry, key).await });
-        let submit = wire.submit().await;
+        let submit = connection.next_submit().await;
         keys.push(key_of(&submit));
-        wire.refuse(submit.attempt, "log-unavailable", Progress::NotRun);
+        connection.refuse(submit.attempt, "log-unavailable", Progress::NotRun);
         let answer = asking.await.expect("answered");
         assert_eq!(told(&answer), (503, "log-unavailable".into(), "not-run".into()));
     }
--- a/crates/itest/tests/truth.rs
+++ b/crates/itest/tests/truth.rs
@@ -32,21 +32,23 @@
     header.and_then(|(_, value)| value.parse().ok())
 }
 
-async fn scripted(room: bool) -> (Fleet, Arc<entry::Entry>, itest::Script, itest::Wire) {
+async fn scripted(
+    room: bool,
+) -> (Fleet, Arc<entry::Entry>, itest::ScriptedAgent, itest::ScriptedConnection) {
     let fleet = Fleet::new().await;
-    let mut script = fleet.add_script("engine-1", "sofia-1").await;
+    let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
-    let wire = script.accept(room).await;
+    let connection = script.accept(room).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    (fleet, entry, script, wire)
+    (fleet, entry, script, connection)
 }
 
 // A crowd has filled the fleet. A request that can't begin in time would wait for nothing, and its
 // caller with it, while it could be told at once when to come again.
 #[tokio::test(start_paused = true)]
 async fn what_cannot_begin_in_time_is_refused_at_once_with_the_time_to_come_again() {
-    let (_fleet, entry, _script, mut wire) = scripted(false).await;
-    wire.load(Load {
+    let (_fleet, entry, _script, mut connection) = scripted(false).await;
+    connection.load(Load {
         target: "engine-1".to_owned(),
         sequence: 1_000,
         accepting: true,
@@ -65,7 +67,7 @@
     assert_eq!(told(&refused), (503, "overloaded".into(), "not-run".into()));
     assert!((10..=20).contains(&retry_after(&refused).expect("a time")), "{refused:?}");
     let patient = tokio::spawn(async move { chat(&entry, &[("x-deadline-ms", "60000")]).await });
-    wire.submit().await;
+    connection.next_submit().await;
     patient.abort();
 }
 
@@ -73,22 +75,24 @@
 // While it only waited for a slot at the agent, nothing has.
 #[tokio::test(start_paused = true)]
 async fn a_deadline_that_passes_is_told_with_whether_anything_ran() {
-    let (_fleet, entry, _script, mut wire) = scripted(true).await;
+    let (_fleet, entry, _script, mut connection) = scripted(true).await;
     let asking = |headers: &'static [(&'static str, &'static str)]| {
         let entry = entry.clone();
         tokio::spawn(async move { chat(&entry, headers).await })
     };
     let begun = tokio::time::Instant::now();
     let late = asking(&[("x-deadline-ms", "500")]);
-    let submit = wire.submit().await;
+    let submit = connection.next_submit().await;
     let answer = late.await.expect("answered");
     assert!(begun.elapsed() < Duration::from_millis(600));
     assert_eq!(told(&answer), (504, "deadline-exceeded".into(), "run".into()));
-    assert!(matches!(wire.next().await, Body::Cancel(cancel) if cancel.attempt == submit.attempt));
+    assert!(
+        matches!(connection.next().await, Body::Cancel(cancel) if cancel.attempt == submit.attempt)
+    );
 
     let waited = asking(&[("x-deadline-ms", "500")]);
-    let submit = wire.submit().await;
-    wire.refuse(submit.attempt, "deadline-exceeded", Progress::NotRun);
+    let submit = connection.next_submit().await;
+    connection.refuse(submit.attempt, "deadline-exceeded", Progress::NotRun);
     let answer = waited.await.expect("answered");
     assert_eq!(told(&answer), (504, "deadline-exceeded".into(), "not-run".into()));
 }
@@ -121,18 +125,18 @@
 // prompt need not be read again, since the KV cache is kept.
 #[tokio::test(start_paused = true)]
 async fn a_planned_change_moves_the_answer_with_its_cache() {
-    let (fleet, entry, _script, mut wire) = scripted(true).await;
+    let (fleet, entry, _script, mut connection) = scripted(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
         async move { chat(&entry, &[]).await }
     });
-    let submit = wire.submit().await;
-    let mut other = fleet.add_script("engine-2", "sofia-1").await;
+    let submit = connection.next_submit().await;
+    let mut other = fleet.add_scripted_engine("engine-2", "sofia-1").await;
     let mut second = other.accept(true).await;
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    wire.token(submit.attempt, 0, "A");
-    wire.refuse(submit.attempt, "draining", Progress::Started);
-    let again = second.submit().await;
+    connection.token(submit.attempt, 0, "A");
+    connection.refuse(submit.attempt, "draining", Progress::Started);
+    let again = second.next_submit().await;
     let Some(Work::Prompt(prompt)) = again.request.expect("a request").work else {
         panic!("expected a prompt")
     };
@@ -186,24 +190,24 @@
 // An operator asks why a request went where it did.
 #[tokio::test(start_paused = true)]
 async fn a_request_can_be_explained_afterwards() {
-    let (_fleet, entry, _script, mut wire) = scripted(true).await;
+    let (_fleet, entry, _script, mut connection) = scripted(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
         async move { chat(&entry, &[]).await }
     });
-    let submit = wire.submit().await;
-    wire.refuse(submit.attempt, "queue-full", Progress::NotRun);
-    let again = wire.submit().await;
-    wire.token(again.attempt, 0, "A");
-    wire.end(again.attempt, 1);
+    let submit = connection.next_submit().await;
+    connection.refuse(submit.attempt, "queue-full", Progress::NotRun);
+    let again = connection.next_submit().await;
+    connection.token(again.attempt, 0, "A");
+    connection.end(again.attempt, 1);
     let answer = asking.await.expect("answered");
     let id = answer.headers.iter().find(|(name, _)| name == "x-request-id").expect("an id");
     let explaining = tokio::spawn({
         let (entry, id) = (entry.clone(), id.1.clone());
         async move { entry.explain(&id).await }
     });
-    let Body::Query(ask) = wire.next().await else { panic!("expected a question") };
-    wire.reply(ask.id, Bytes::from_static(b"target=engine-1\n"));
+    let Body::Query(ask) = connection.next().await else { panic!("expected a question") };
+    connection.reply(ask.id, Bytes::from_static(b"target=engine-1\n"));
     let explanation = explaining.await.expect("answered").expect("known");
     insta::assert_snapshot!(serde_json::to_string_pretty(&explanation).expect("plain data"));
     assert!(entry.explain("no-such-request").await.is_none());
--- a/crates/itest/tests/whole.rs
+++ b/crates/itest/tests/whole.rs
@@ -89,7 +89,7 @@
     let (fleet, [one, two], _agents, [left, _right]) = ledgers().await;
     fleet.add_engine("engine-1", "sofia-1").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
-    fleet.log.set_out(true);
+    fleet.log.set_unavailable(true);
     tokio::time::sleep(Duration::from_secs(30)).await;
     let refused = transfer(&left, "t-1", "5").await;
     assert_eq!((refused.status, run_of(&refused)), (503, "not-run".to_owned()), "{refused:?}");
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -26,6 +26,6 @@
 pub use length::Length;
 pub use mix::{Burst, Caller, Class, Mix};
 pub use report::{Engines, Report, Row};
-pub use run::{Aim, run};
+pub use run::{Endpoints, run};
 pub use tally::Quantiles;
 pub use verify::Calls;
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -18,7 +18,7 @@
 
 /// Where a mix is sent and what is asked afterwards; all addresses are `host:port`.
 #[derive(Debug, Clone, Default)]
-pub struct Aim {
+pub struct Endpoints {
     /// The entries.
     pub entries: Vec<CompactString>,
     /// Stand-in engines to which every second prompt goes directly, to measure what entry and
@@ -45,7 +45,7 @@
 }
 
 /// Sends a mix and returns when all its requests are answered or given up.
-pub async fn run(mix: Mix, aim: Aim) -> Result<Report> {
+pub async fn run(mix: Mix, aim: Endpoints) -> Result<Report> {
     check(&aim)?;
     let client = Client::new();
     let before = Engines::read(&client, &aim.engines).await?;
@@ -76,7 +76,7 @@
     Ok(report)
 }
 
-fn check(aim: &Aim) -> Result<()> {
+fn check(aim: &Endpoints) -> Result<()> {
     let all = [&aim.entries, &aim.direct, &aim.services, &aim.engines].into_iter().flatten();
     for address in all {
         let uri = format!("http://{address}/").parse::<http::Uri>();
--- a/crates/load/tests/judge.rs
+++ b/crates/load/tests/judge.rs
@@ -2,8 +2,8 @@
 
 use async_trait::async_trait;
 use fake::MemoryService;
-use fake::http::{Serving, control_router, service_router};
-use load::{Aim, Arrivals, Mix};
+use fake::http::{BoundServer, control_router, service_router};
+use load::{Arrivals, Endpoints, Mix};
 use salvo::{Depot, FlowCtrl, Handler, Request, Response, Router};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -63,7 +63,7 @@
 }
 
 async fn serve(router: Router) -> compact_str::CompactString {
-    let serving = Serving::bind("127.0.0.1:0", router).await.expect("loopback can be bound");
+    let serving = BoundServer::bind("127.0.0.1:0", router).await.expect("loopback can be bound");
     let address = compact_str::format_compact!("{}", serving.address);
     tokio::spawn(serving.run());
     address
@@ -77,7 +77,9 @@
     let entries = vec![serve(Router::with_path("{**rest}").goal(entry)).await];
     let mix = "{rate: 1000, requests: 20, classes: [{name: p}, {name: c, service: s, path: t}]}";
     let mix = Mix::parse(mix).expect("the mix is right");
-    load::run(mix, Aim { entries, services, ..Aim::default() }).await.expect("all can be reached")
+    load::run(mix, Endpoints { entries, services, ..Endpoints::default() })
+        .await
+        .expect("all can be reached")
 }
 
 #[tokio::test]
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -6,8 +6,8 @@
 use compact_str::{CompactString, ToCompactString, format_compact};
 use conf::{Kind, settings};
 use eyre::Result;
-use fake::http::Serving;
-use fake::{EngineModel, MemoryEngine, MemoryLog, MemoryVms};
+use fake::http::BoundServer;
+use fake::{EngineParams, MemoryEngine, MemoryLog, MemoryVms};
 use plat::http::HttpClient;
 use serde_json::{Value, json};
 use state::Appender;
@@ -85,11 +85,11 @@
 
     async fn start_agent(&self, engines: &Thread, log: &str, number: u32) -> Result<()> {
         let name = format_compact!("engine-{number}");
-        let model = EngineModel {
+        let model = EngineParams {
             prefill_rate: 100_000_000,
             token_time: Duration::from_micros(200),
             slots: 256,
-            ..EngineModel::default()
+            ..EngineParams::default()
         };
         let engine = Arc::new(MemoryEngine::new(model, &[MODEL]));
         let engine = serve(engines, fake::http::engine_router(engine)).await?;
@@ -178,7 +178,7 @@
 /// Serves a stand-in on a thread and returns its address.
 async fn serve(thread: &Thread, router: salvo::Router) -> Result<CompactString> {
     let bound = thread.run(async move {
-        let serving = Serving::bind("127.0.0.1:0", router).await?;
+        let serving = BoundServer::bind("127.0.0.1:0", router).await?;
         let address = serving.address.to_compact_string();
         tokio::spawn(serving.run());
         std::io::Result::Ok(address)
--- a/crates/state/tests/appender.rs
+++ b/crates/state/tests/appender.rs
@@ -36,7 +36,7 @@
 async fn append_that_may_still_arrive_is_unsettled() {
     let log = MemoryLog::new();
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
-    log.land_late(1, Duration::from_secs(60));
+    log.delay_writes(1, Duration::from_secs(60));
     let result = appender.append(SYSTEM_STREAM, renewal("s", 0)).await;
     assert!(matches!(result, Err(Error::Unsettled { .. })), "{result:?}");
     assert_eq!(records(&log).await, 0);
@@ -50,10 +50,10 @@
 async fn refused_record_never_appears() {
     let log = MemoryLog::new();
     let appender = Appender::new(Arc::new(log.clone()), "a".into());
-    log.set_out(true);
+    log.set_unavailable(true);
     let result = appender.append(SYSTEM_STREAM, renewal("s", 0)).await;
     assert!(matches!(result, Err(Error::Log(plat::Error::Unavailable { .. }))), "{result:?}");
-    log.set_out(false);
+    log.set_unavailable(false);
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(records(&log).await, 0);
 }
--- a/crates/state/tests/calls.rs
+++ b/crates/state/tests/calls.rs
@@ -119,7 +119,7 @@
     let mut agent = Process::<Calls>::start(&log, "a", &stream);
     let claimed =
         agent.appender.append(&stream, claim(SCOPE, None, 1)).await.expect("the log is up");
-    log.land_late(1, Duration::from_secs(30));
+    log.delay_writes(1, Duration::from_secs(30));
     let abandoned = agent.appender.append(&stream, intent("sweep", claimed.offset)).await;
     let Err(Error::Unsettled { .. }) = abandoned else { panic!("{abandoned:?}") };
     tokio::time::sleep(Duration::from_secs(31)).await;
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -154,10 +154,10 @@
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let lease = keep(&a, 1);
     let before = held(&lease).await;
-    log.set_out(true);
+    log.set_unavailable(true);
     tokio::time::sleep(Duration::from_secs(6)).await;
     assert_eq!(*lease.held().borrow(), None);
-    log.set_out(false);
+    log.set_unavailable(false);
     assert_eq!(held(&lease).await.claim, before.claim);
 }
 
--- a/crates/state/tests/follower.rs
+++ b/crates/state/tests/follower.rs
@@ -61,9 +61,9 @@
     let writing = tokio::spawn(writer.settings(due).run());
     publish(&a, "m").await;
     a.read_to(1).await;
-    log.set_out(true);
+    log.set_unavailable(true);
     tokio::time::sleep(HOUR).await;
-    log.set_out(false);
+    log.set_unavailable(false);
     tokio::time::sleep(Duration::from_secs(30)).await;
     let mut late = Process::<Config>::start(&log, "late", CONFIG_STREAM);
     let end = a.state.borrow().end();
@@ -168,7 +168,7 @@
     let first =
         Record::read(CONFIG_STREAM, 0, &batch.entries[0].bytes).expect("the record is valid");
     behind.apply(0, &first);
-    log.set_out(true);
+    log.set_unavailable(true);
     let restarted = Process::start_from(&log, "r", CONFIG_STREAM, state.clone());
     restarted.peer_states.send(behind).await.expect("the follower runs");
     tokio::time::sleep(Duration::from_secs(10)).await;
