--- a/crates/itest/examples/latency.rs
+++ b/crates/itest/examples/latency.rs
@@ -1,7 +1,8 @@
-//! What entry and agent add to a short request, against the stand-in service directly, in one run.
+//! Measures the latency that entry and agent add to a short request, compared with direct calls of
+//! the stand-in service in the same run.
 //!
-//! `cargo run --release -p itest --example latency` prints the median and the 99th of a hundred of
-//! both, and requests a second through entry and agent. All processes share this one.
+//! `cargo run --release -p itest --example latency` prints the median and 99th percentile of both,
+//! and the requests per second through entry and agent. All parts run in this one process.
 
 use agent::Backend;
 use async_trait::async_trait;
@@ -24,12 +25,12 @@
 use tokio_util::sync::CancellationToken;
 use wire::{TcpDialler, TcpListener};
 
-/// An engine in memory that generates one token at once: what is left is entry and agent. The
-/// stand-in engine waits for a timer of a millisecond even if its own times are zero.
-struct Instantly;
+/// An engine in memory that generates one token without delay, so that only entry and agent are
+/// measured. The stand-in engine waits for a timer of a millisecond even if its own times are zero.
+struct InstantEngine;
 
 #[async_trait]
-impl Engine for Instantly {
+impl Engine for InstantEngine {
     async fn generate(&self, _: Job) -> Result<Outputs> {
         let usage = Usage { prompt_tokens: 9, completion_tokens: 1, cached_tokens: 0 };
         let text = Output::Text { text: " yes".to_owned(), tokens: 1 };
@@ -60,13 +61,13 @@
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// Requests one after the other, for the times of one.
+/// Sequential requests from which the latency of one is measured.
 const SEQUENTIAL: usize = 3_000;
 
-/// Requests of each of [`WORKERS`], for requests a second.
+/// Requests of each of the [`WORKERS`], from which the throughput is measured.
 const EACH: usize = 400;
 
-/// Callers that send side by side.
+/// Callers that send concurrently.
 const WORKERS: usize = 64;
 
 #[tokio::main]
@@ -75,7 +76,7 @@
     let service = serve(fake::http::service_router(Arc::new(MemoryService::default()))).await;
     let backend = Backend::Service(Arc::new(HttpService::new(service.clone())));
     start_agent(&fleet, "echo-1", json!({"service": "echo", "repeatable": true}), backend).await;
-    let backend = Backend::Engine(Arc::new(Instantly));
+    let backend = Backend::Engine(Arc::new(InstantEngine));
     start_agent(&fleet, "engine-1", json!({"models": [MODEL], "slots": 256}), backend).await;
     let mut context = fleet.entry_context("entry-1", "sofia-1");
     context.settings.callers = "127.0.0.1:0".into();
@@ -99,7 +100,8 @@
     throughput("chat of 1 token", &http, &through, &chat).await;
 }
 
-/// Times requests both ways in turns, so that whatever else the machine does meets both.
+/// Times direct and forwarded requests alternately, so that other load on the machine affects both
+/// alike.
 async fn compare(name: &str, http: &Http, direct: (&str, &Bytes), through: (&str, &Bytes)) {
     let (mut plain, mut added) = (Vec::new(), Vec::new());
     for _ in 0..SEQUENTIAL {
--- a/crates/itest/src/lib.rs
+++ b/crates/itest/src/lib.rs
@@ -1,6 +1,6 @@
-//! A whole fleet in one test: entries, agents and stand-ins over in-memory links.
+//! Runs a whole fleet in one test: entries, agents and stand-ins over in-memory links.
 //!
-//! Under the paused clock of a current-thread runtime a run is the same each time.
+//! Runs are deterministic under the paused clock of a current-thread runtime.
 
 mod script;
 mod transcript;
@@ -23,7 +23,7 @@
 pub use script::{ScriptedAgent, ScriptedConnection};
 pub use transcript::{Transcript, describe};
 
-/// The secret between the fleet's processes.
+/// Key with which the fleet's processes authenticate to each other.
 const PEER_KEY: &str = "test";
 
 /// The model that all stand-in engines serve.
@@ -38,7 +38,7 @@
     pub vms: MemoryVms,
     /// The network between entries and agents; agents listen at their target's name plus `:1`.
     pub network: MemoryNetwork,
-    /// How many entries were started; each gets a seed of its own, the same in each run.
+    /// Number of entries started; it is the seed of the next one, so that seeds are deterministic.
     entries: AtomicU64,
 }
 
@@ -49,21 +49,21 @@
     task: tokio::task::JoinHandle<()>,
 }
 
-/// What a caller received.
+/// Response as a caller received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
     /// The HTTP status.
     pub status: u16,
-    /// The headers, in the order in which they came.
+    /// The headers, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// The body, as far as it was received.
     pub body: String,
-    /// Whether the body broke off.
+    /// Whether the body ended with an error.
     pub cut: bool,
 }
 
 impl Fleet {
-    /// Makes an empty fleet with one open caller and one model.
+    /// Makes a fleet without targets, with one model and one caller that needs no token.
     pub async fn new() -> Self {
         let fleet = Self::default();
         fleet.publish(Kind::Model, MODEL, json!({})).await;
@@ -71,7 +71,7 @@
         fleet
     }
 
-    /// Appends a change of a resource as an operator would.
+    /// Appends a change of a resource to the configuration stream, as an operator does.
     pub async fn publish(&self, kind: Kind, name: &str, spec: Value) {
         let appender = Appender::new(Arc::new(self.log.clone()), "operator".into());
         let change = Change {
@@ -83,7 +83,8 @@
         appender.append(plat::CONFIG_STREAM, Body::Change(change)).await.expect("the log is up");
     }
 
-    /// Adds an engine of the usual speed with its agent, and its resource.
+    /// Publishes an engine's resource and starts the engine, with default parameters, and its
+    /// agent.
     pub async fn add_engine(&self, name: &str, domain: &str) -> (MemoryEngine, Agent) {
         let engine = MemoryEngine::new(EngineParams::default(), &[MODEL]);
         let spec = json!({"models": [MODEL], "domain": domain, "agent": agent_address(name)});
@@ -92,7 +93,8 @@
         (engine, agent)
     }
 
-    /// Adds an instance of a plain service with its agent, and its resource.
+    /// Publishes the resource of an instance of a plain service and starts the instance and its
+    /// agent.
     pub async fn add_service(
         &self,
         service: &str,
@@ -110,14 +112,15 @@
         (backend, agent)
     }
 
-    /// Adds an engine whose agent does what the test tells it to.
+    /// Publishes an engine's resource and listens as its agent, which the test scripts.
     pub async fn add_scripted_engine(&self, name: &str, domain: &str) -> ScriptedAgent {
         let spec = json!({"models": [MODEL], "domain": domain, "agent": agent_address(name)});
         self.publish(Kind::Target, name, spec).await;
         self.listen_scripted(name)
     }
 
-    /// Adds an instance of a plain service whose agent does what the test tells it to.
+    /// Publishes the resource of an instance of a plain service and listens as its agent, which
+    /// the test scripts.
     pub async fn add_scripted_service(
         &self,
         service: &str,
@@ -132,12 +135,12 @@
         self.listen_scripted(name)
     }
 
-    /// Starts a scripted agent of the target `name` that the fleet has already.
+    /// Listens as the scripted agent of the target `name`, whose resource is already published.
     pub fn listen_scripted(&self, name: &str) -> ScriptedAgent {
         ScriptedAgent::new(name, self.network.listen(&agent_address(name)), PEER_KEY)
     }
 
-    /// Starts the agent of the target `name`; also anew, after a crash.
+    /// Starts the agent of the target `name`, for the first time or again after a crash.
     pub fn start_agent(&self, name: &str, domain: &str, backend: Backend) -> Agent {
         let address = agent_address(name);
         let settings = settings::Agent {
@@ -158,7 +161,7 @@
             stop: stop.clone(),
         };
         let task = tokio::spawn(async move {
-            // A test sees an agent that failed by what callers receive.
+            // Tests detect a failed agent by the responses that callers receive.
             let _ = agent::Daemon::new(context).run().await;
         });
         Agent { stop, task }
@@ -169,7 +172,7 @@
         entry::Entry::start(self.entry_context(name, domain))
     }
 
-    /// What the entry `name` sees of the fleet.
+    /// Context in which to start the entry `name`, for tests that change its settings.
     pub fn entry_context(&self, name: &str, domain: &str) -> entry::Context {
         let settings = settings::Entry {
             name: name.into(),
@@ -189,24 +192,24 @@
 }
 
 impl Agent {
-    /// Kills the agent: it says and does nothing more.
+    /// Aborts the agent's task, without a graceful stop.
     pub fn kill(self) {
         self.task.abort();
     }
 
     /// Waits until a stopped agent has ended.
     pub async fn ended(self) {
-        // A killed agent has ended too.
+        // An aborted task has ended too.
         let _ = self.task.await;
     }
 }
 
-/// Where the agent of a target listens.
+/// Address at which the agent of a target listens.
 pub fn agent_address(target: &str) -> CompactString {
     format_compact!("{target}:1")
 }
 
-/// Sends a request to an entry and collects what the caller receives.
+/// Sends a request to an entry and collects its response.
 pub async fn send(entry: &entry::Entry, request: http::Request<Bytes>) -> Answer {
     let mut response = handle(entry, request).await;
     let status = response.status_code.map_or(200, |status| status.as_u16());
@@ -218,20 +221,20 @@
     Answer { status, headers, body, cut }
 }
 
-/// Sends a JSON body by POST.
+/// Sends a POST request with a JSON body to an entry and collects its response.
 pub async fn post(entry: &entry::Entry, path: &str, body: Value) -> Answer {
     let request = http::Request::post(path).header("content-type", "application/json");
     let request = request.body(Bytes::from(body.to_string())).expect("the request is valid");
     send(entry, request).await
 }
 
-/// A streamed answer that a test reads at its own pace; dropping it is a caller that vanishes.
+/// Body of a streamed response, read piece by piece; dropping it disconnects the caller.
 pub struct Stream {
     body: salvo::http::ResBody,
 }
 
 impl Stream {
-    /// The next part of the body; `None` at its end, an error if it broke off.
+    /// Returns the next piece of the body, `None` at its end, and an error if it broke off.
     pub async fn next(&mut self) -> Option<Result<String, String>> {
         let frame = self.body.frame().await?;
         let data = frame.map(|frame| frame.into_data().unwrap_or_default());
@@ -240,7 +243,7 @@
     }
 }
 
-/// Sends a request for a streamed chat answer, with headers, and returns its status and body.
+/// Sends a streamed chat completion request with headers; returns the status and the body.
 pub async fn stream_chat(
     entry: &entry::Entry,
     headers: &[(&'static str, &str)],
@@ -260,7 +263,7 @@
     (status, Stream { body: response.take_body() })
 }
 
-/// The text of an answer that came as server-sent events.
+/// Concatenates the text of a chat completion streamed as server-sent events.
 pub fn text_of(events: &str) -> String {
     let data = events.lines().filter_map(|line| line.strip_prefix("data: "));
     let values = data.filter_map(|data| serde_json::from_str::<Value>(data).ok());
--- a/crates/itest/src/script.rs
+++ b/crates/itest/src/script.rs
@@ -1,4 +1,4 @@
-//! An agent that does only what a test tells it to, for failures that a real one never shows.
+//! An agent that sends only what a test scripts, for failures that a real one cannot produce.
 
 use bytes::Bytes;
 use compact_str::format_compact;
@@ -10,14 +10,14 @@
     Load, MemoryListener, Offer, Pong, Progress, Refusal, Submit,
 };
 
-/// Where the scripted agent of one target listens.
+/// Listener of the scripted agent of one target.
 pub struct ScriptedAgent {
     target: String,
     listener: MemoryListener,
     key: Key,
 }
 
-/// A connection from an entry to a scripted agent.
+/// Connection from an entry to a scripted agent.
 pub struct ScriptedConnection {
     target: String,
     frames: mpsc::UnboundedReceiver<Body>,
@@ -26,8 +26,8 @@
     task: tokio::task::JoinHandle<()>,
 }
 
-/// How long a test waits for a frame before it fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time that a test waits for a connection or a frame before it fails.
+const FRAME_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl ScriptedAgent {
     pub(crate) fn new(target: &str, listener: MemoryListener, key: &str) -> Self {
@@ -35,23 +35,24 @@
         Self { target: target.to_owned(), listener, key }
     }
 
-    /// Takes the next connection, with a target that says in its load that it has room, or not.
+    /// Accepts the next connection; the target's load reports free slots, or none and one waiter.
     pub async fn accept(&mut self, room: bool) -> ScriptedConnection {
-        self.take(room, "mixed").await
+        self.accept_with(room, "mixed").await
     }
 
-    /// Takes the next connection, with a target that has room and this role.
+    /// Accepts the next connection; the target's load reports free slots and this role.
     pub async fn accept_as(&mut self, role: &str) -> ScriptedConnection {
-        self.take(true, role).await
+        self.accept_with(true, role).await
     }
 
-    async fn take(&mut self, room: bool, role: &str) -> ScriptedConnection {
-        let accepted = tokio::time::timeout(PATIENCE, self.listener.accept()).await;
-        let (pipe, peer) = accepted.expect("a connection in time").expect("the network is up");
+    async fn accept_with(&mut self, room: bool, role: &str) -> ScriptedConnection {
+        let accepted = tokio::time::timeout(FRAME_TIMEOUT, self.listener.accept()).await;
+        let (pipe, peer) =
+            accepted.expect("the entry connects in time").expect("the network is up");
         let mut connection = Connection::new(pipe, peer);
         let name = format_compact!("agent-{}", self.target);
         let hello = Hello::new(&name, 1, [7; 16]);
-        wire::accept(&mut connection, &self.key, hello).await.expect("the entry knows the key");
+        wire::accept(&mut connection, &self.key, hello).await.expect("the entry has the same key");
         let (outbox, frames_out) = mpsc::unbounded_channel();
         let (frames_in, frames) = mpsc::unbounded_channel();
         let load = Load {
@@ -69,7 +70,7 @@
     }
 }
 
-/// Answers pings, and carries all other frames to and from the test.
+/// Answers pings with `load` and forwards all other frames to and from the test.
 async fn serve(
     connection: Connection,
     mut load: Load,
@@ -87,7 +88,7 @@
                     let load = Some(load.clone());
                     Frame::new(Body::Pong(Pong { nonce: ping.nonce, load, entries: Vec::new() }))
                 } else {
-                    // The test may not look at all of them.
+                    // The test may have dropped its end.
                     let _ = frames_in.send(body);
                     continue;
                 }
@@ -102,18 +103,18 @@
 }
 
 impl ScriptedConnection {
-    /// The next frame that is no ping.
+    /// Returns the next frame other than a ping.
     pub async fn next(&mut self) -> Body {
-        let next = tokio::time::timeout(PATIENCE, self.frames.recv()).await;
-        next.expect("a frame comes in time").expect("the connection stands")
+        let next = tokio::time::timeout(FRAME_TIMEOUT, self.frames.recv()).await;
+        next.expect("a frame arrives before the timeout").expect("the connection is open")
     }
 
-    /// The next frame, if one comes within `wait`.
+    /// Returns the next frame other than a ping, if one arrives within `wait`.
     pub async fn next_within(&mut self, wait: Duration) -> Option<Body> {
         tokio::time::timeout(wait, self.frames.recv()).await.ok().flatten()
     }
 
-    /// The next frame, which must be a submission.
+    /// Returns the next frame, which must be a submission.
     pub async fn next_submit(&mut self) -> Submit {
         match self.next().await {
             Body::Submit(submit) => submit,
@@ -121,39 +122,39 @@
         }
     }
 
-    /// Sends any event.
+    /// Sends an event of an attempt.
     pub fn send(&self, attempt: AttemptId, kind: EventKind) {
         let event = Event { attempt, load: None, kind: Some(kind) };
-        // A test may send to an entry that is gone.
+        // The entry may have stopped.
         let _ = self.outbox.send(Frame::new(Body::Event(event)));
     }
 
-    /// Sends a piece of text of one token that follows `from_token` others.
+    /// Sends a piece of text of one token, the token at index `from_token`.
     pub fn token(&self, attempt: AttemptId, from_token: u32, text: &str) {
         let delta = Delta { from_token, tokens: 1, text: text.to_owned() };
         self.send(attempt, EventKind::Delta(delta));
     }
 
-    /// Ends an answer of `output_tokens` tokens.
+    /// Ends a generation of `output_tokens` tokens at its stop condition.
     pub fn end(&self, attempt: AttemptId, output_tokens: u32) {
         let finish = Finish::Stop.into();
         let end = End { finish, prompt_tokens: 3, output_tokens, cached_tokens: 0 };
         self.send(attempt, EventKind::End(end));
     }
 
-    /// Ends an answer because the attempt was to generate no more.
+    /// Ends a generation of `output_tokens` tokens at the length limit of the attempt.
     pub fn end_early(&self, attempt: AttemptId, output_tokens: u32) {
         let finish = Finish::Length.into();
         let end = End { finish, prompt_tokens: 3, output_tokens, cached_tokens: 0 };
         self.send(attempt, EventKind::End(end));
     }
 
-    /// Offers a held attempt.
+    /// Offers to start a held attempt.
     pub fn offer(&self, attempt: AttemptId) {
         self.send(attempt, EventKind::Offer(Offer {}));
     }
 
-    /// Gives an attempt up.
+    /// Refuses or abandons an attempt; `progress` is how far it ran.
     pub fn refuse(&self, attempt: AttemptId, reason: &str, progress: Progress) {
         let progress = progress.into();
         let (reason, detail) = (reason.to_owned(), "by the script".to_owned());
@@ -161,7 +162,7 @@
         self.send(attempt, EventKind::Refusal(refusal));
     }
 
-    /// Begins a service's response.
+    /// Sends the head of a service's response, with status 200.
     pub fn head(&self, attempt: AttemptId, headers: &[(&str, &str)]) {
         let headers = headers.iter().map(|(name, value)| wire::Header {
             name: (*name).to_owned(),
@@ -171,27 +172,27 @@
         self.send(attempt, EventKind::Head(head));
     }
 
-    /// Tells a load, as an answer to a ping that nobody waits for.
+    /// Reports a load in an unsolicited pong.
     pub fn load(&self, load: Load) {
         let pong = Pong { nonce: 0, load: Some(load), entries: Vec::new() };
-        // A test may send to an entry that is gone.
+        // The entry may have stopped.
         let _ = self.outbox.send(Frame::new(Body::Pong(pong)));
     }
 
-    /// Answers a question.
+    /// Replies to the query `id`.
     pub fn reply(&self, id: u64, body: Bytes) {
-        // A test may send to an entry that is gone.
+        // The entry may have stopped.
         let _ = self.outbox.send(Frame::new(Body::Reply(wire::Reply { id, body })));
     }
 
-    /// Breaks the connection off.
+    /// Breaks the connection.
     pub fn cut(self) {
         self.task.abort();
     }
 
-    /// Stops answering anything, without closing the connection, as a paused VM does.
+    /// Stops sending and receiving without closing the connection, as a paused VM does.
     pub fn freeze(&self) {
-        // The task waits for ever from now on, and with it stays the connection that it owns.
+        // The task owns the connection and waits forever, which keeps it open.
         self.frozen.cancel();
     }
 }
--- a/crates/itest/src/transcript.rs
+++ b/crates/itest/src/transcript.rs
@@ -1,4 +1,4 @@
-//! A session as a person would read it: who asked what, and what they received.
+//! Human-readable record of a session: who sent which request and what was received.
 
 use crate::Answer;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::time::Instant;
 
-/// The lines of a session; clones write to the same one.
+/// Lines of a session; clones share them.
 #[derive(Clone)]
 pub struct Transcript {
     begun: Instant,
@@ -14,12 +14,12 @@
 }
 
 impl Transcript {
-    /// Begins a session now.
+    /// Starts an empty transcript; its times count from now.
     pub fn begin() -> Self {
         Self { begun: Instant::now(), text: Arc::default() }
     }
 
-    /// Adds a line with the time in seconds since the beginning.
+    /// Adds a line with the time in seconds since the start.
     pub fn note(&self, who: &str, what: &str) {
         let at = self.begun.elapsed().as_secs_f64();
         let mut text = self.text.lock().unwrap_or_else(PoisonError::into_inner);
@@ -27,12 +27,12 @@
         let _ = writeln!(text, "{at:8.1} s  {who}: {what}");
     }
 
-    /// Adds what a caller received.
+    /// Adds a line that describes a response received by `who`.
     pub fn received(&self, who: &str, answer: &Answer) {
         self.note(who, &describe(answer));
     }
 
-    /// Adds a heading and lines without a time.
+    /// Adds a heading followed by lines without times.
     pub fn section(&self, heading: &str, lines: impl IntoIterator<Item = String>) {
         let mut text = self.text.lock().unwrap_or_else(PoisonError::into_inner);
         let _ = writeln!(text, "\n{heading}");
@@ -41,13 +41,13 @@
         }
     }
 
-    /// The session so far.
+    /// Returns the text recorded so far.
     pub fn text(&self) -> String {
         self.text.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// An answer in one line: whole or not, and what it says.
+/// Describes a response in one line: its status, whether it is complete, and its text or reason.
 pub fn describe(answer: &Answer) -> String {
     let cut = if answer.cut { ", CUT" } else { "" };
     let replayed = answer.headers.iter().any(|(name, _)| name == "idempotency-replayed");
@@ -64,14 +64,15 @@
     }
 }
 
-/// The first words of a long text.
+/// Shortens a long text to its first words.
 fn beginning(text: &str) -> String {
     const WORDS: usize = 8;
     let words: Vec<&str> = text.split(' ').collect();
     if words.len() <= WORDS { text.to_owned() } else { words[..WORDS].join(" ") + " …" }
 }
 
-/// The text of a stream of server-sent events, how many pieces it came in, and whether it ended.
+/// Parses a stream of server-sent events: its text, its number of pieces, and whether it has its
+/// end marker.
 fn streamed(body: &str) -> Option<(String, usize, bool)> {
     let data: Vec<&str> = body.lines().filter_map(|line| line.strip_prefix("data: ")).collect();
     if data.is_empty() {
--- a/crates/itest/tests/answers.rs
+++ b/crates/itest/tests/answers.rs
@@ -1,4 +1,4 @@
-//! One whole answer for each prompt, whatever happens to the attempts at it.
+//! Each prompt gets one complete answer, whatever happens to its attempts.
 
 use itest::{Answer, Fleet, MODEL, ScriptedAgent, ScriptedConnection, post, stream_chat, text_of};
 use serde_json::json;
@@ -14,7 +14,7 @@
     post(entry, "/v1/chat/completions", body).await
 }
 
-/// A fleet of two scripted engines and one entry that knows their load.
+/// Starts two scripted engines and one entry that has received their load.
 async fn two_scripts(
     room: bool,
 ) -> (Fleet, Arc<entry::Entry>, ScriptedAgent, ScriptedConnection, ScriptedAgent, ScriptedConnection)
@@ -28,7 +28,7 @@
     (fleet, entry, one, connection_one, two, connection_two)
 }
 
-/// Which of the two got the submission, and the other.
+/// Waits for a submission at either; returns it, the connection that received it, and the other.
 async fn first<'a>(
     one: &'a mut ScriptedConnection,
     two: &'a mut ScriptedConnection,
@@ -40,16 +40,16 @@
 }
 
 fn resumed(submit: &wire::Submit) -> (u32, String) {
-    match &submit.request.as_ref().expect("a request").work {
+    match &submit.request.as_ref().expect("a submission has a request").work {
         Some(Work::Prompt(prompt)) => (prompt.resume_tokens, prompt.resume_text.clone()),
         other => panic!("expected a prompt, got {other:?}"),
     }
 }
 
-// A lossy path or a confused agent sends a piece twice and leaves another out. Passed on as they
-// come, the caller would read garbled text and take it for the answer.
+// An agent sends one piece twice and omits another. If the entry forwarded pieces unchecked, the
+// caller would receive garbled text as a complete answer.
 #[tokio::test(start_paused = true)]
-async fn doubled_and_missing_pieces_are_mended_by_resuming_elsewhere() {
+async fn duplicate_and_missing_pieces_are_repaired_by_resuming_elsewhere() {
     let (_fleet, entry, _one, mut one, _two, mut two) = two_scripts(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -64,15 +64,15 @@
     good.token(again.attempt, 1, "B");
     good.token(again.attempt, 2, "C");
     good.end(again.attempt, 3);
-    let answer = asking.await.expect("the caller is answered");
+    let answer = asking.await.expect("the request task ends");
     assert_eq!(text_of(&answer.body), "ABC");
     assert!(answer.body.ends_with("data: [DONE]\n\n"), "{}", answer.body);
 }
 
-// An engine says that its answer is complete although a piece of it never came. The caller would
-// take a cut answer for the whole one.
+// An engine reports the end of its answer although a piece is missing. If the entry accepted that
+// end, the caller would take a truncated answer for the complete one.
 #[tokio::test(start_paused = true)]
-async fn an_end_that_does_not_follow_the_last_token_is_not_taken_for_the_end() {
+async fn an_end_that_does_not_follow_the_last_token_is_not_accepted() {
     let (_fleet, entry, _one, mut one, _two, mut two) = two_scripts(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -84,11 +84,11 @@
     let again = good.next_submit().await;
     good.token(again.attempt, 1, "B");
     good.end(again.attempt, 2);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "AB");
 }
 
-// An agent gives an attempt up, the request goes elsewhere, and then the first agent's pieces
-// come after all. Another request's caller, or the same one, would see text twice.
+// An agent refuses an attempt, the request is sent again, and then pieces of the first attempt
+// arrive. Without a check of the attempt's id, a caller would receive text twice.
 #[tokio::test(start_paused = true)]
 async fn late_frames_of_an_abandoned_attempt_are_dropped() {
     let fleet = Fleet::new().await;
@@ -107,10 +107,11 @@
     connection.end(late.attempt, 2);
     connection.token(again.attempt, 1, "B");
     connection.end(again.attempt, 2);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "AB");
 }
 
-// An agent's VM is killed in the middle of a stream. The caller would see its answer break off.
+// An agent's VM is killed in the middle of a stream. Without a resumption at another engine, the
+// caller's answer would break off.
 #[tokio::test(start_paused = true)]
 async fn an_agent_killed_in_the_middle_of_a_stream_is_not_noticed_by_the_caller() {
     let fleet = Fleet::new().await;
@@ -121,7 +122,8 @@
     let whole = text_of(&chat(&entry).await.body);
     let (status, mut stream) = stream_chat(&entry, &[], "Which tiles cover the slope?").await;
     assert_eq!(status, 200);
-    let mut events = stream.next().await.expect("a piece").expect("no error");
+    let mut events =
+        stream.next().await.expect("the stream has a piece").expect("the stream does not fail");
     let on_first = events.starts_with("id: engine-1/");
     let (killed, _other) = if on_first { (agent_one, agent_two) } else { (agent_two, agent_one) };
     killed.kill();
@@ -130,13 +132,13 @@
         events += &part.expect("the stream is not cut");
     }
     assert_eq!(text_of(&events), whole);
-    assert!(entry.metrics().contains("resumes_total 1"), "it went on at the other engine");
+    assert!(entry.metrics().contains("resumes_total 1"), "it was resumed at the other engine");
 }
 
-// A VM is paused: its connection stays open, but nothing comes. The caller would wait until its
-// deadline although other engines are free.
+// A VM is paused: its connection stays open, but no frames arrive. Without heartbeats, the caller
+// would wait until its deadline although other engines are free.
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_falls_silent_is_given_up_and_the_answer_goes_on_elsewhere() {
+async fn an_unresponsive_connection_is_abandoned_and_the_answer_resumes_elsewhere() {
     let (_fleet, entry, _one, mut one, _two, mut two) = two_scripts(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -151,13 +153,13 @@
     assert!(begun.elapsed() < Duration::from_secs(5), "took {:?}", begun.elapsed());
     good.token(again.attempt, 1, "B");
     good.end(again.attempt, 2);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "AB");
 }
 
-// Both engines are full, and nobody knows which is free first. Bound to one of them, the request
-// would wait although the other is idle; started at both, it would cost twice.
+// Both engines are full, and it is unknown which has a free slot first. If the request were queued
+// at one only, it could wait while the other is idle; if both started it, it would cost twice.
 #[tokio::test(start_paused = true)]
-async fn a_request_that_waits_at_two_engines_starts_at_the_first_that_is_free_only() {
+async fn a_request_queued_at_two_engines_starts_only_at_the_first_free_one() {
     let (_fleet, entry, _one, mut one, _two, mut two) = two_scripts(false).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -171,13 +173,13 @@
     assert!(matches!(one.next().await, Body::Cancel(cancel) if cancel.attempt == left.attempt));
     two.token(right.attempt, 0, "A");
     two.end(right.attempt, 1);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "A");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "A");
     assert!(one.next_within(Duration::from_secs(1)).await.is_none(), "no begin at the other");
 }
 
-// One of the two engines dies while a request waits at both. The caller should not notice.
+// A request is queued at two engines and one of them dies. The other must still serve it.
 #[tokio::test(start_paused = true)]
-async fn a_candidate_that_dies_while_a_request_waits_is_covered_by_the_other() {
+async fn a_request_queued_at_two_engines_survives_the_loss_of_one() {
     let (_fleet, entry, _one, mut one, _two, mut two) = two_scripts(false).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -190,14 +192,13 @@
     assert!(matches!(two.next().await, Body::Begin(_)));
     two.token(right.attempt, 0, "A");
     two.end(right.attempt, 1);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "A");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "A");
 }
 
-// Prompts are read by one engine and answered by another. If the second one took the request
-// from its beginning, the prompt would be read twice; if the first went on, roles would mean
-// nothing.
+// One engine prefills and another decodes. If the second started the request from its beginning,
+// the prompt would be prefilled twice; if the first continued, it would decode against its role.
 #[tokio::test(start_paused = true)]
-async fn a_prompt_is_read_by_a_prefill_engine_and_answered_by_a_decode_engine() {
+async fn a_prompt_is_prefilled_by_one_engine_and_decoded_by_another() {
     let fleet = Fleet::new().await;
     for (name, role) in [("engine-1", "prefill"), ("engine-2", "decode")] {
         let spec = json!({
@@ -213,7 +214,12 @@
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let asking = tokio::spawn(async move { chat(&entry).await });
     let submit = prefill.next_submit().await;
-    let prompt = |submit: &wire::Submit| match &submit.request.as_ref().expect("a request").work {
+    let prompt = |submit: &wire::Submit| match &submit
+        .request
+        .as_ref()
+        .expect("a submission has a request")
+        .work
+    {
         Some(Work::Prompt(prompt)) => prompt.clone(),
         other => panic!("expected a prompt, got {other:?}"),
     };
@@ -221,10 +227,10 @@
     prefill.token(submit.attempt, 0, "A");
     prefill.end_early(submit.attempt, 1);
     let again = decode.next_submit().await;
-    let went_on = prompt(&again);
-    assert_eq!((went_on.resume_tokens, went_on.kv_source.as_str()), (1, "engine-1"));
-    assert!(!went_on.prefill_only);
+    let resumed = prompt(&again);
+    assert_eq!((resumed.resume_tokens, resumed.kv_source.as_str()), (1, "engine-1"));
+    assert!(!resumed.prefill_only);
     decode.token(again.attempt, 1, "B");
     decode.end(again.attempt, 2);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "AB");
 }
--- a/crates/itest/tests/cut_off.rs
+++ b/crates/itest/tests/cut_off.rs
@@ -1,4 +1,4 @@
-//! Entries that are cut off: from the log, from half of their agents, or from their own past.
+//! Entries that cannot reach the log or some of their agents, or that receive state out of order.
 
 use itest::{Fleet, MODEL, post};
 use serde_json::json;
@@ -14,10 +14,10 @@
     post(entry, "/v1/chat/completions", body).await.status
 }
 
-// The log is out, and an entry is replaced meanwhile. Without its configuration it could serve
-// nobody until the log is back, which may take hours.
+// An entry restarts while the log is unavailable. If it could read its configuration only from the
+// log, it would serve nobody until the log is back, which may take hours.
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_restarts_while_the_log_is_out_serves_from_an_agents_state() {
+async fn an_entry_that_restarts_during_a_log_outage_serves_from_an_agents_snapshot() {
     let fleet = Fleet::new().await;
     let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let config = {
@@ -33,7 +33,7 @@
     let begun = tokio::time::Instant::now();
     let entry = Arc::new(entry::Entry::start(context));
     let mut connection = script.accept(true).await;
-    let Body::Query(ask) = connection.next().await else { panic!("expected a question") };
+    let Body::Query(ask) = connection.next().await else { panic!("expected a query") };
     assert_eq!(ask.kind(), QueryKind::Snapshot);
     let older = Snapshot::of(plat::CONFIG_STREAM, &Config::default());
     let all = vec![
@@ -52,7 +52,7 @@
     let submit = loop {
         match connection.next().await {
             Body::Submit(submit) => break submit,
-            // An older state, offered later, must not take the newer one's place.
+            // An older snapshot that arrives later must not replace the newer state.
             Body::Query(ask) => {
                 connection.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes())
             }
@@ -62,13 +62,13 @@
     assert!(begun.elapsed() < Duration::from_secs(1), "served after {:?}", begun.elapsed());
     connection.token(submit.attempt, 0, "A");
     connection.end(submit.attempt, 1);
-    serving.await.expect("answered");
+    serving.await.expect("the request task ends");
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(entry.config().borrow().end(), config.end());
 }
 
-// A switch fails, and an entry reaches only half of its agents. Its callers should not notice, as
-// long as the other half can serve them.
+// A switch fails, and an entry reaches only half of its agents. It must serve all requests with the
+// other half, refuse when none is left, and reconnect by itself.
 #[tokio::test(start_paused = true)]
 async fn an_entry_cut_off_from_half_of_its_agents_serves_with_the_other_half() {
     let fleet = Fleet::new().await;
@@ -94,10 +94,10 @@
     assert_eq!(chat(&entry).await, 200, "connected again by itself");
 }
 
-// Two loads of one agent arrive in the wrong order. Taken as they come, the older one would hide
-// that the target takes no new work any more.
+// Two load reports of one agent arrive out of order. If the entry applied the older one last, it
+// would not see that the target no longer accepts work.
 #[tokio::test(start_paused = true)]
-async fn a_load_that_comes_late_does_not_replace_a_newer_one() {
+async fn an_older_load_report_does_not_replace_a_newer_one() {
     let fleet = Fleet::new().await;
     let mut script = fleet.add_scripted_engine("engine-1", "sofia-1").await;
     let entry = fleet.start_entry("entry-1", "sofia-1");
--- a/crates/itest/tests/whole.rs
+++ b/crates/itest/tests/guarantees.rs
@@ -1,4 +1,4 @@
-//! Promises that entries and agents keep together, with the whole fleet in memory.
+//! Guarantees that entries and agents provide together, with the whole fleet in memory.
 
 use bytes::Bytes;
 use conf::Kind;
@@ -12,7 +12,7 @@
     let request = http::Request::post("/services/ledger/transfers")
         .header("idempotency-key", key)
         .body(Bytes::from_static(body.as_bytes()));
-    send(entry, request.expect("valid")).await
+    send(entry, request.expect("the request is valid")).await
 }
 
 async fn chat(entry: &entry::Entry) -> u16 {
@@ -31,7 +31,8 @@
     body["run"].as_str().unwrap_or_default().to_owned()
 }
 
-/// Two ledgers and two entries that are connected to both, claims settled.
+/// Starts two service instances and two entries connected to both, and waits until the agents hold
+/// their claims.
 async fn ledgers() -> (Fleet, [MemoryService; 2], [itest::Agent; 2], [Arc<entry::Entry>; 2]) {
     let fleet = Fleet::new().await;
     let (one, agent_one) = fleet.add_service("ledger", "ledger-1", "sofia-1", false).await;
@@ -42,10 +43,10 @@
     (fleet, [one, two], [agent_one, agent_two], [left, right])
 }
 
-// An impatient client sends the same transfer through two entries at once. Run twice, it would
-// move the funds twice.
+// A client sends the same call with one idempotency key through two entries at once. If both
+// forwarded it to a service, it would run twice.
 #[tokio::test(start_paused = true)]
-async fn the_same_key_through_two_entries_at_once_runs_once() {
+async fn concurrent_calls_with_one_key_through_two_entries_run_once() {
     let (_fleet, [one, two], _agents, [left, right]) = ledgers().await;
     one.set_delay(Duration::from_millis(200));
     two.set_delay(Duration::from_millis(200));
@@ -61,10 +62,10 @@
     assert_eq!(runs(&[&one, &two]), 8);
 }
 
-// The entry dies while a transfer runs, and its caller sends it again through another entry. It
-// must get the answer of the first run.
+// An entry loses its agents while a call runs, and the caller retries through another entry. It
+// must get the answer of the first run, not start a second one.
 #[tokio::test(start_paused = true)]
-async fn a_key_sent_again_through_another_entry_gets_the_first_answer() {
+async fn a_retry_through_another_entry_gets_the_first_answer() {
     let (fleet, [one, two], _agents, [left, right]) = ledgers().await;
     one.set_delay(Duration::from_millis(500));
     two.set_delay(Duration::from_millis(500));
@@ -75,17 +76,17 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.network.cut("entry-1", "ledger-1:1");
     fleet.network.cut("entry-1", "ledger-2:1");
-    let lost = first.await.expect("answered");
+    let lost = first.await.expect("the request task ends");
     assert_eq!((lost.status, run_of(&lost)), (502, "unknown".to_owned()));
     let again = transfer(&right, "t-1", "5").await;
     assert_eq!(again.status, 200, "{}", again.body);
     assert_eq!(runs(&[&one, &two]), 1);
 }
 
-// The log is out. A call that may not be repeated is not begun, and says so; everything else is
-// served, also by an entry that starts meanwhile.
+// While the log is unavailable, non-repeatable calls must be refused as not run, since their intent
+// cannot be recorded. Everything else must be served, also by an entry that starts meanwhile.
 #[tokio::test(start_paused = true)]
-async fn without_the_log_calls_with_keys_are_refused_as_not_run_and_the_rest_is_served() {
+async fn during_a_log_outage_non_repeatable_calls_are_refused_and_the_rest_is_served() {
     let (fleet, [one, two], _agents, [left, _right]) = ledgers().await;
     fleet.add_engine("engine-1", "sofia-1").await;
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -107,10 +108,10 @@
     assert_eq!(chat(&later).await, 200);
 }
 
-// Operators take one engine after the other out of service while callers stream. None of the
-// answers may be cut, and no new one may begin at an engine that leaves.
+// Operators drain one engine after another while callers stream. No answer may be truncated, and no
+// new request may start at a leaving engine.
 #[tokio::test(start_paused = true)]
-async fn engines_that_leave_one_after_the_other_under_load_cut_no_answer() {
+async fn draining_engines_one_after_another_under_load_truncates_no_answer() {
     let fleet = Fleet::new().await;
     let mut agents = Vec::new();
     for number in 1..=3 {
@@ -131,7 +132,7 @@
                 assert_eq!(status, 200);
                 let mut events = String::new();
                 while let Some(part) = stream.next().await {
-                    events += &part.expect("not cut");
+                    events += &part.expect("the stream does not break off");
                 }
                 assert!(events.ends_with("data: [DONE]\n\n"), "{events}");
                 assert!(!text_of(&events).is_empty());
@@ -159,7 +160,7 @@
     }
     let mut answers = 0;
     for caller in callers {
-        answers += caller.await.expect("all of its answers were whole");
+        answers += caller.await.expect("all answers are complete");
     }
     assert!(answers > 30, "{answers} answers");
 }
--- a/crates/itest/tests/planned.rs
+++ b/crates/itest/tests/planned.rs
@@ -1,4 +1,4 @@
-//! Planned changes under load, seen by callers: drains, role changes and restarts cut nothing.
+//! Planned changes under load: drains, role changes and restarts truncate no answer.
 
 use conf::Kind;
 use conf::resource::Role;
@@ -17,12 +17,12 @@
     })
 }
 
-/// Whether the caller has its whole answer.
+/// Whether the answer is complete.
 fn is_whole(answer: &Answer) -> bool {
     answer.status == 200 && !answer.cut && answer.body.trim_end().ends_with("data: [DONE]")
 }
 
-/// Sends `count` questions over `over`, and returns what callers received.
+/// Sends `count` requests evenly over the time `over`, and returns the responses.
 async fn load(entry: Arc<entry::Entry>, count: u32, tokens: u32, over: Duration) -> Vec<Answer> {
     let mut asked = Vec::new();
     for number in 0..count {
@@ -34,12 +34,12 @@
     }
     let mut answers = Vec::new();
     for answer in asked {
-        answers.push(answer.await.expect("the caller waits"));
+        answers.push(answer.await.expect("the request task ends"));
     }
     answers
 }
 
-/// How many answers the entry had to go on with at another target because one broke off.
+/// Number of streams that the entry resumed at another target after one broke off.
 fn resumes(entry: &entry::Entry) -> u64 {
     let text = entry.metrics();
     let line = text.lines().find(|line| line.contains("resumes_total") && !line.starts_with('#'));
@@ -58,10 +58,10 @@
     appender.append(plat::SYSTEM_STREAM, Body::Order(order)).await.expect("the log is up");
 }
 
-// An operator drains an engine's VM under load. Nothing that runs there may be cut, no new work
-// may reach it after two seconds, and callers notice nothing.
+// An operator drains an engine under load. Its running requests must finish there, and no new work
+// may reach it after 2 s; the test checks from 3 s on that it is idle.
 #[tokio::test(start_paused = true)]
-async fn a_drained_engine_cuts_nothing_and_gets_no_new_work() {
+async fn a_drained_engine_truncates_no_answer_and_gets_no_new_work() {
     let fleet = Fleet::new().await;
     let (one, _agent_one) = fleet.add_engine("engine-1", "sofia-1").await;
     let (_two, _agent_two) = fleet.add_engine("engine-2", "sofia-1").await;
@@ -76,18 +76,22 @@
     fleet.publish(Kind::Target, "engine-1", spec).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     for _ in 0..10 {
-        assert_eq!(one.status().await.expect("up").running, 0, "no new work reaches it");
+        assert_eq!(
+            one.status().await.expect("the engine is up").running,
+            0,
+            "no new work reaches it"
+        );
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    let answers = loading.await.expect("callers wait");
+    let answers = loading.await.expect("the request task ends");
     assert_eq!(answers.iter().filter(|answer| !is_whole(answer)).count(), 0);
-    assert_eq!(resumes(&entry), 0, "what ran there was finished there");
+    assert_eq!(resumes(&entry), 0, "running requests finish at the drained engine");
 }
 
-// The planner changes the role of the only engine while answers are under way. They are finished
-// first, instead of being cut and waiting for the engine to come back.
+// The planner changes the role of the only engine while it streams answers. If the engine did not
+// finish them first, they would break off and wait until it is available again.
 #[tokio::test(start_paused = true)]
-async fn answers_under_way_are_finished_before_a_role_change() {
+async fn running_answers_finish_before_a_role_change() {
     let fleet = Fleet::new().await;
     let (one, _agent_one) = fleet.add_engine("engine-1", "sofia-1").await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
@@ -95,17 +99,17 @@
     let loading = tokio::spawn(load(entry.clone(), 10, 500, Duration::from_millis(100)));
     tokio::time::sleep(Duration::from_millis(500)).await;
     give_order(&fleet, "engine-1", "decode").await;
-    let answers = loading.await.expect("callers wait");
+    let answers = loading.await.expect("the request task ends");
     assert_eq!(answers.iter().filter(|answer| !is_whole(answer)).count(), 0);
     assert_eq!(resumes(&entry), 0);
     tokio::time::sleep(Duration::from_secs(10)).await;
-    assert_eq!(one.status().await.expect("up").role, Role::Decode);
+    assert_eq!(one.status().await.expect("the engine is up").role, Role::Decode);
 }
 
 // The planner changes an engine's role while it streams an answer that outlasts the drain. The
-// stream goes on at the other engine, and its caller receives one whole answer.
+// stream must continue at the other engine, and its caller receive one complete answer.
 #[tokio::test(start_paused = true)]
-async fn a_role_change_moves_a_long_stream_and_its_caller_gets_one_whole_answer() {
+async fn a_long_stream_continues_at_another_engine_after_a_role_change() {
     let fleet = Fleet::new().await;
     let (one, _agent_one) = fleet.add_engine("engine-1", "sofia-1").await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
@@ -121,17 +125,17 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let (_two, _agent_two) = fleet.add_engine("engine-2", "sofia-1").await;
     give_order(&fleet, "engine-1", "prefill").await;
-    let answer = asking.await.expect("the caller waits");
+    let answer = asking.await.expect("the request task ends");
     assert!(is_whole(&answer), "{} {}", answer.status, tail(&answer.body));
     assert_eq!(text(&answer.body), text(&expected.body));
     tokio::time::sleep(Duration::from_secs(30)).await;
-    assert_eq!(one.status().await.expect("up").role, Role::Prefill);
+    assert_eq!(one.status().await.expect("the engine is up").role, Role::Prefill);
 }
 
-// Agents are restarted one after the other under load, as in an upgrade. Every caller gets its
-// whole answer.
+// Agents are restarted one after another under load, as in an upgrade. Each must finish its
+// requests before it stops, or callers would receive truncated answers.
 #[tokio::test(start_paused = true)]
-async fn restarting_agents_one_after_the_other_cuts_nothing() {
+async fn a_rolling_restart_of_agents_truncates_no_answer() {
     let fleet = Fleet::new().await;
     let (one, agent_one) = fleet.add_engine("engine-1", "sofia-1").await;
     let (two, agent_two) = fleet.add_engine("engine-2", "sofia-1").await;
@@ -145,16 +149,16 @@
         agent.ended().await;
         agents.push(fleet.start_agent(name, "sofia-1", agent::Backend::Engine(Arc::new(engine))));
     }
-    let answers = loading.await.expect("callers wait");
+    let answers = loading.await.expect("the request task ends");
     let broken: Vec<_> = answers.iter().filter(|answer| !is_whole(answer)).collect();
     assert!(broken.is_empty(), "{} broken, first {:?}", broken.len(), broken.first());
-    assert_eq!(resumes(&entry), 0, "each agent finished what it had");
+    assert_eq!(resumes(&entry), 0, "each agent finishes its requests before it stops");
 }
 
-// Two things at once: the log goes out while an engine is being drained, and the other engine's
-// process crashes and comes back. Callers that ask meanwhile get their whole answers.
+// Two faults at once: while the log is unavailable, one of three engines crashes and restarts two
+// seconds later. Its streams must resume at the others.
 #[tokio::test(start_paused = true)]
-async fn an_engine_crash_during_an_outage_of_the_log_cuts_no_answer() {
+async fn an_engine_crash_during_a_log_outage_truncates_no_answer() {
     let fleet = Fleet::new().await;
     let (one, _agent_one) = fleet.add_engine("engine-1", "sofia-1").await;
     let (_two, _agent_two) = fleet.add_engine("engine-2", "sofia-1").await;
@@ -168,12 +172,12 @@
     one.crash();
     tokio::time::sleep(Duration::from_secs(2)).await;
     one.start();
-    let answers = loading.await.expect("callers wait");
+    let answers = loading.await.expect("the request task ends");
     let broken: Vec<_> = answers.iter().filter(|answer| !is_whole(answer)).collect();
     assert!(broken.is_empty(), "{} broken, first {:?}", broken.len(), broken.first());
 }
 
-/// The text of a streamed answer.
+/// Concatenates the text of a streamed answer.
 fn text(body: &str) -> String {
     let events = body.lines().filter_map(|line| line.strip_prefix("data: {"));
     let chunks = events.filter_map(|rest| serde_json::from_str::<Value>(&format!("{{{rest}")).ok());
--- a/crates/itest/tests/planner.rs
+++ b/crates/itest/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner's duty in a whole fleet: what operators want reaches the engines.
+//! The planner applies the roles that operators configure, in a whole fleet.
 
 use conf::Kind;
 use conf::resource::Role;
@@ -16,7 +16,7 @@
     engine.status().await.expect("the engine is up").role
 }
 
-/// The process that plans for the pool.
+/// Returns the process that holds the planner's lease of the pool.
 async fn planner(fleet: &Fleet) -> Option<String> {
     let follower = Follower::<System>::new(Arc::new(fleet.log.clone()), SYSTEM_STREAM.into());
     let system = follower.state();
@@ -26,10 +26,11 @@
     system.borrow().holder("planner/main").map(|holder| holder.process.to_string())
 }
 
-// An operator fixes roles while nobody but the agents is there to plan. Then the agent that plans
-// is killed, and the operator wants another role: the fleet must not wait for a person.
+// An operator configures a role in a fleet that has only agents to plan. Then the planning agent is
+// killed and the operator configures another role. Another agent must take over within 10 s, or
+// the role would stay until someone intervenes.
 #[tokio::test(start_paused = true)]
-async fn roles_that_operators_fix_reach_engines_also_after_the_planner_died() {
+async fn configured_roles_reach_engines_also_after_the_planner_is_killed() {
     let fleet = Fleet::new().await;
     let (first, first_agent) = fleet.add_engine("engine-1", "domain-1").await;
     let (second, second_agent) = fleet.add_engine("engine-2", "domain-2").await;
--- a/crates/itest/tests/poison.rs
+++ b/crates/itest/tests/poison.rs
@@ -1,14 +1,14 @@
-//! A request that crashes each engine that runs it, sent again and again through all entries.
+//! A request that crashes every engine that runs it, sent repeatedly through all entries.
 
 use conf::Kind;
 use itest::{Fleet, MODEL, post};
 use serde_json::json;
 use std::time::Duration;
 
-// One prompt crashes every engine that runs it. Its caller sees an error and sends it again, each
-// time through another entry, and takes down one engine after the other.
+// One prompt crashes every engine that runs it. Its caller receives an error and retries, each time
+// through another entry. Without a quarantine it would crash one engine after another.
 #[tokio::test(start_paused = true)]
-async fn a_poison_request_takes_down_two_engines_at_most_and_its_neighbours_are_served() {
+async fn a_poison_request_crashes_at_most_two_engines_and_other_requests_are_served() {
     let fleet = Fleet::new().await;
     fleet.publish(Kind::Caller, "open", json!({"deadline_ms": 10_000})).await;
     let mut engines = Vec::new();
@@ -33,7 +33,7 @@
         statuses.push(poison.body);
         assert_eq!(innocent.status, 200, "{}", innocent.body);
         tokio::time::sleep(Duration::from_secs(1)).await;
-        // Crashed engines are started again by their operators, and are crashed again if allowed.
+        // Operators restart crashed engines, which the request could then crash again.
         engines
             .iter()
             .filter(|(engine, _)| engine.is_down())
@@ -44,7 +44,7 @@
     assert!((1..=2).contains(&crashes), "{crashes} crashes, {statuses:#?}");
     let last = statuses.last().expect("six rounds");
     assert!(last.contains(r#""code":"quarantined""#) && last.contains("not-run"), "{last}");
-    // An entry that starts afterwards knows it from the log.
+    // An entry that starts later reads the quarantine from the log.
     let later = fleet.start_entry("entry-3", "sofia-1");
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     let body = json!({
@@ -54,11 +54,10 @@
     assert!(refused.body.contains(r#""code":"quarantined""#), "{}", refused.body);
 }
 
-// A caller's program sends a dozen copies of a poison request at once, through two entries. Before
-// the first crash stands in the log, each copy could take down an engine of its own, and a whole
-// site would be without engines.
+// A caller sends 12 copies of a poison request at once, through two entries. Until the first crash
+// is recorded in the log, each copy could crash another engine, up to all 9.
 #[tokio::test(start_paused = true)]
-async fn copies_of_a_poison_request_sent_at_once_take_down_one_engine_an_entry() {
+async fn concurrent_copies_of_a_poison_request_crash_at_most_one_engine_per_entry() {
     let fleet = Fleet::new().await;
     fleet.publish(Kind::Caller, "open", json!({"deadline_ms": 10_000})).await;
     let mut engines = Vec::new();
@@ -73,7 +72,7 @@
     let body = json!({
         "model": MODEL, "max_tokens": 8, "messages": [{"role": "user", "content": "poison"}],
     });
-    // The news of a crash takes its time, as with a real log.
+    // Recording a crash takes time, as with a real log.
     fleet.log.set_delay(Duration::from_millis(300));
     let copies =
         (0..12).map(|number| post(&entries[number % 2], "/v1/chat/completions", body.clone()));
@@ -83,9 +82,10 @@
     assert!((1..=2).contains(&crashes), "{crashes} crashes");
 }
 
-// Many ask the same at once. None may wait for more than the first token of the first.
+// 12 identical harmless requests are sent at once. Each may wait at most for the first token of the
+// first one, not for its whole answer.
 #[tokio::test(start_paused = true)]
-async fn copies_of_a_harmless_request_sent_at_once_are_all_answered() {
+async fn concurrent_copies_of_a_harmless_request_are_all_answered() {
     let fleet = Fleet::new().await;
     let mut agents = Vec::new();
     for number in 1..=3 {
--- a/crates/itest/tests/reconnect.rs
+++ b/crates/itest/tests/reconnect.rs
@@ -1,14 +1,14 @@
-//! A stream goes on through another entry, for its own caller only.
+//! A stream can be resumed through another entry, by its own caller only.
 
 use conf::Kind;
 use itest::{Fleet, stream_chat, text_of};
 use serde_json::json;
 use std::time::Duration;
 
-// An entry dies, and its caller's client reconnects through another with the last event id that
-// it saw. Another caller that guesses or steals the id must learn nothing.
+// An entry dies, and its caller's client reconnects through another entry with the last event id
+// that it received. Another caller that guesses or steals the id must get none of the answer.
 #[tokio::test(start_paused = true)]
-async fn an_event_id_goes_on_through_another_entry_for_its_own_caller_only() {
+async fn a_stream_resumes_through_another_entry_for_its_own_caller_only() {
     let fleet = Fleet::new().await;
     fleet.publish(Kind::Caller, "thief", json!({"token_sha256": sha2_hex(b"thief")})).await;
     let (_engine, _agent) = fleet.add_engine("engine-1", "sofia-1").await;
@@ -18,9 +18,10 @@
     let whole = whole_text(&two, &[], "Which tiles?").await;
 
     let (_, mut stream) = stream_chat(&one, &[], "Which tiles?").await;
-    let first = stream.next().await.expect("a piece").expect("no error");
+    let first =
+        stream.next().await.expect("the stream has a piece").expect("the stream does not fail");
     let id = first.lines().find_map(|line| line.strip_prefix("id: ")).expect("an id").to_owned();
-    // The entry is killed: its connections break, and it says nothing more.
+    // Kills the entry: its connections break without a message.
     fleet.network.cut("entry-1", "engine-1:1");
     drop(one);
 
@@ -37,7 +38,7 @@
     assert_eq!(status, 200);
     let mut events = first;
     while let Some(part) = rest.next().await {
-        events += &part.expect("not cut");
+        events += &part.expect("the stream does not break off");
     }
     assert_eq!(text_of(&events), whole);
 }
@@ -46,7 +47,7 @@
     let (_, mut stream) = stream_chat(entry, headers, text).await;
     let mut events = String::new();
     while let Some(part) = stream.next().await {
-        events += &part.expect("not cut");
+        events += &part.expect("the stream does not break off");
     }
     text_of(&events)
 }
--- a/crates/itest/tests/truth.rs
+++ b/crates/itest/tests/responses.rs
@@ -1,4 +1,4 @@
-//! What callers are told when the fleet is full, late or being changed.
+//! Responses when the fleet is overloaded, past a deadline, failing or being changed.
 
 use bytes::Bytes;
 use conf::Kind;
@@ -18,10 +18,10 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    send(entry, request.body(Bytes::from(body.to_string())).expect("valid")).await
+    send(entry, request.body(Bytes::from(body.to_string())).expect("the request is valid")).await
 }
 
-fn told(answer: &Answer) -> (u16, String, String) {
+fn outcome(answer: &Answer) -> (u16, String, String) {
     let body: Value = serde_json::from_str(&answer.body).expect("an error object");
     let text = |name: &str| body["error"][name].as_str().unwrap_or_default().to_owned();
     (answer.status, text("code"), text("run"))
@@ -43,10 +43,10 @@
     (fleet, entry, script, connection)
 }
 
-// A crowd has filled the fleet. A request that can't begin in time would wait for nothing, and its
-// caller with it, while it could be told at once when to come again.
+// The fleet is overloaded. A request that cannot start before its deadline must be refused at once
+// with a retry time, instead of waiting until the deadline passes.
 #[tokio::test(start_paused = true)]
-async fn what_cannot_begin_in_time_is_refused_at_once_with_the_time_to_come_again() {
+async fn requests_that_cannot_start_in_time_are_refused_at_once_with_retry_after() {
     let (_fleet, entry, _script, mut connection) = scripted(false).await;
     connection.load(Load {
         target: "engine-1".to_owned(),
@@ -64,17 +64,20 @@
     let begun = tokio::time::Instant::now();
     let refused = chat(&entry, &[("x-deadline-ms", "5000")]).await;
     assert!(begun.elapsed() < Duration::from_millis(100));
-    assert_eq!(told(&refused), (503, "overloaded".into(), "not-run".into()));
-    assert!((10..=20).contains(&retry_after(&refused).expect("a time")), "{refused:?}");
+    assert_eq!(outcome(&refused), (503, "overloaded".into(), "not-run".into()));
+    assert!(
+        (10..=20).contains(&retry_after(&refused).expect("a retry-after header")),
+        "{refused:?}"
+    );
     let patient = tokio::spawn(async move { chat(&entry, &[("x-deadline-ms", "60000")]).await });
     connection.next_submit().await;
     patient.abort();
 }
 
-// An engine takes a request and never answers. When the deadline passes, some of it may have run.
-// While it only waited for a slot at the agent, nothing has.
+// An engine accepts a request and never answers. When the deadline passes, the response must state
+// that it may have run; if it only waited for a slot at the agent, that it has not.
 #[tokio::test(start_paused = true)]
-async fn a_deadline_that_passes_is_told_with_whether_anything_ran() {
+async fn a_deadline_response_states_whether_the_request_ran() {
     let (_fleet, entry, _script, mut connection) = scripted(true).await;
     let asking = |headers: &'static [(&'static str, &'static str)]| {
         let entry = entry.clone();
@@ -83,9 +86,9 @@
     let begun = tokio::time::Instant::now();
     let late = asking(&[("x-deadline-ms", "500")]);
     let submit = connection.next_submit().await;
-    let answer = late.await.expect("answered");
+    let answer = late.await.expect("the request task ends");
     assert!(begun.elapsed() < Duration::from_millis(600));
-    assert_eq!(told(&answer), (504, "deadline-exceeded".into(), "run".into()));
+    assert_eq!(outcome(&answer), (504, "deadline-exceeded".into(), "run".into()));
     assert!(
         matches!(connection.next().await, Body::Cancel(cancel) if cancel.attempt == submit.attempt)
     );
@@ -93,13 +96,14 @@
     let waited = asking(&[("x-deadline-ms", "500")]);
     let submit = connection.next_submit().await;
     connection.refuse(submit.attempt, "deadline-exceeded", Progress::NotRun);
-    let answer = waited.await.expect("answered");
-    assert_eq!(told(&answer), (504, "deadline-exceeded".into(), "not-run".into()));
+    let answer = waited.await.expect("the request task ends");
+    assert_eq!(outcome(&answer), (504, "deadline-exceeded".into(), "not-run".into()));
 }
 
-// A caller uses up its tokens a second, by prompts that are long. Others must not pay for it.
+// A caller exceeds its token rate. It must be refused until the announced time, so that others are
+// not slowed down.
 #[tokio::test(start_paused = true)]
-async fn a_caller_over_its_rate_is_refused_until_the_rate_allows_it_again() {
+async fn a_caller_over_its_token_rate_is_refused_until_retry_after() {
     let fleet = Fleet::new().await;
     let limited = json!({"urgent": true, "tokens_per_second": 20});
     fleet.publish(Kind::Caller, "open", limited).await;
@@ -115,16 +119,16 @@
         }
     }
     let refused = refused.expect("the rate is used up");
-    assert_eq!(told(&refused), (429, "rate-limit".into(), "not-run".into()));
-    let wait = Duration::from_secs(retry_after(&refused).expect("a time"));
+    assert_eq!(outcome(&refused), (429, "rate-limit".into(), "not-run".into()));
+    let wait = Duration::from_secs(retry_after(&refused).expect("a retry-after header"));
     tokio::time::sleep(wait).await;
     assert_eq!(chat(&entry, &[]).await.status, 200);
 }
 
-// Operators take an engine out of service while it answers. The caller must not notice, and the
-// prompt need not be read again, since the KV cache is kept.
+// An engine is drained while it streams an answer. The stream must continue at another engine,
+// which fetches the KV cache from the first instead of prefilling the prompt again.
 #[tokio::test(start_paused = true)]
-async fn a_planned_change_moves_the_answer_with_its_cache() {
+async fn a_drained_engine_transfers_its_stream_with_the_kv_cache() {
     let (fleet, entry, _script, mut connection) = scripted(true).await;
     let asking = tokio::spawn({
         let entry = entry.clone();
@@ -137,26 +141,26 @@
     connection.token(submit.attempt, 0, "A");
     connection.refuse(submit.attempt, "draining", Progress::Started);
     let again = second.next_submit().await;
-    let Some(Work::Prompt(prompt)) = again.request.expect("a request").work else {
+    let Some(Work::Prompt(prompt)) = again.request.expect("a submission has a request").work else {
         panic!("expected a prompt")
     };
     assert_eq!((prompt.kv_source.as_str(), prompt.resume_tokens), ("engine-1", 1));
     second.token(again.attempt, 1, "B");
     second.end(again.attempt, 2);
-    assert_eq!(text_of(&asking.await.expect("answered").body), "AB");
+    assert_eq!(text_of(&asking.await.expect("the request task ends").body), "AB");
 }
 
-// All streams of an engine break at once when it crashes. If their retries were paid from the
-// budget against retry storms, most callers would see their answers cut.
+// All streams of an engine break at once when it crashes. If resuming them were charged to the
+// retry budget, most of the answers would be truncated.
 #[tokio::test(start_paused = true)]
-async fn a_crash_under_many_streams_cuts_none_of_them() {
+async fn a_crash_under_many_streams_truncates_none_of_them() {
     let fleet = Fleet::new().await;
     let mut engines: Vec<(String, MemoryEngine)> = Vec::new();
     let mut agents = Vec::new();
     for number in 1..=3 {
         let name = format!("engine-{number}");
         let (engine, agent) = fleet.add_engine(&name, "sofia-1").await;
-        // Slow enough that all streams are still under way when the engine crashes.
+        // Slow enough that all streams are still running when the engine crashes.
         engine.change(|model| model.token_time = Duration::from_millis(200));
         engines.push((name, engine));
         agents.push(agent);
@@ -167,7 +171,8 @@
     for number in 0..36 {
         let (status, mut stream) = stream_chat(&entry, &[], &format!("question {number}")).await;
         assert_eq!(status, 200);
-        let first = stream.next().await.expect("a piece").expect("no error");
+        let first =
+            stream.next().await.expect("the stream has a piece").expect("the stream does not fail");
         streams.push((first, stream));
     }
     let first = &streams[0].0;
@@ -176,7 +181,7 @@
     let readers = streams.into_iter().map(|(mut events, mut stream)| {
         tokio::spawn(async move {
             while let Some(part) = stream.next().await {
-                events += &part.expect("not cut");
+                events += &part.expect("the stream does not break off");
             }
             events
         })
@@ -187,7 +192,7 @@
     }
 }
 
-// An operator asks why a request went where it did.
+// An operator asks why a request was routed as it was, after it has ended.
 #[tokio::test(start_paused = true)]
 async fn a_request_can_be_explained_afterwards() {
     let (_fleet, entry, _script, mut connection) = scripted(true).await;
@@ -200,15 +205,15 @@
     let again = connection.next_submit().await;
     connection.token(again.attempt, 0, "A");
     connection.end(again.attempt, 1);
-    let answer = asking.await.expect("answered");
+    let answer = asking.await.expect("the request task ends");
     let id = answer.headers.iter().find(|(name, _)| name == "x-request-id").expect("an id");
     let explaining = tokio::spawn({
         let (entry, id) = (entry.clone(), id.1.clone());
         async move { entry.explain(&id).await }
     });
-    let Body::Query(ask) = connection.next().await else { panic!("expected a question") };
+    let Body::Query(ask) = connection.next().await else { panic!("expected a query") };
     connection.reply(ask.id, Bytes::from_static(b"target=engine-1\n"));
-    let explanation = explaining.await.expect("answered").expect("known");
+    let explanation = explaining.await.expect("the request task ends").expect("known");
     insta::assert_snapshot!(serde_json::to_string_pretty(&explanation).expect("plain data"));
     assert!(entry.explain("no-such-request").await.is_none());
 }
--- a/crates/itest/tests/retention.rs
+++ b/crates/itest/tests/retention.rs
@@ -1,4 +1,4 @@
-//! A log that keeps records for two hours only.
+//! A log whose records expire, and a log that is unavailable for hours.
 
 use agent::Backend;
 use bytes::Bytes;
@@ -10,14 +10,14 @@
 
 async fn transfer(entry: &entry::Entry, key: &str) -> Answer {
     let request = http::Request::post("/services/ledger/transfers").header("idempotency-key", key);
-    send(entry, request.body(Bytes::from_static(b"5")).expect("valid")).await
+    send(entry, request.body(Bytes::from_static(b"5")).expect("the request is valid")).await
 }
 
-// A treasurer's transfer is answered, and its record expires. Hours later its target's VM is
-// replaced and the transfer is sent again. Without a checkpoint the new agent could not read its
-// stream from the beginning and would refuse all transfers, or forget this one and run it twice.
+// A call is answered, and its record expires after 2 h. After 5 h its target's agent is replaced
+// and the call is sent again. Without a checkpoint the new agent could not read its stream from the
+// beginning and would refuse all calls, or would run this one twice.
 #[tokio::test(start_paused = true)]
-async fn a_key_is_still_known_after_its_record_expired_and_its_agent_was_replaced() {
+async fn an_idempotency_key_survives_the_expiry_of_its_record_and_a_new_agent() {
     let fleet = Fleet::new().await;
     fleet.log.set_retention(2 * HOUR);
     let (ledger, agent) = fleet.add_service("ledger", "ledger-1", "sofia-1", false).await;
@@ -36,11 +36,11 @@
     assert_eq!(transfer(&entry, "t-2").await.status, 200);
 }
 
-// A transfer is under way when the log goes out, and stays out for most of a day. It has run, but
-// nobody can write that down. Once the log is back, an agent that had given up recording it would
-// take its intent for one that was never dispatched, free the key, and run the transfer again.
+// The log fails while a call runs and stays unavailable for 7 h, so the outcome cannot be recorded.
+// Once the log is back, an agent that had stopped trying to record it would take the intent for one
+// that was never dispatched, release the key, and run the call again.
 #[tokio::test(start_paused = true)]
-async fn a_call_whose_outcome_waits_for_the_log_all_day_still_runs_once() {
+async fn a_call_whose_outcome_is_recorded_after_a_long_log_outage_runs_once() {
     let fleet = Fleet::new().await;
     let (ledger, _agent) = fleet.add_service("ledger", "ledger-1", "sofia-1", false).await;
     ledger.set_delay(Duration::from_secs(1));
@@ -50,7 +50,7 @@
     let asking = tokio::spawn(async move { transfer(&asking, "t-1").await });
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.log.set_unavailable(true);
-    assert_eq!(asking.await.expect("answered").status, 200);
+    assert_eq!(asking.await.expect("the request task ends").status, 200);
     tokio::time::sleep(7 * HOUR).await;
     fleet.log.set_unavailable(false);
     tokio::time::sleep(Duration::from_secs(30)).await;
--- a/crates/itest/tests/services.rs
+++ b/crates/itest/tests/services.rs
@@ -1,5 +1,5 @@
-//! Calls of plain services: what may be tried again is, what may not runs once, and callers are
-//! told the truth.
+//! Calls of plain services: repeatable calls are retried, others run at most once, and responses
+//! state correctly whether the call ran.
 
 use bytes::Bytes;
 use conf::Kind;
@@ -14,26 +14,27 @@
     if let Some(key) = key {
         request = request.header("idempotency-key", key);
     }
-    send(entry, request.body(Bytes::from_static(b"5")).expect("valid")).await
+    send(entry, request.body(Bytes::from_static(b"5")).expect("the request is valid")).await
 }
 
-fn told(answer: &Answer) -> (u16, String, String) {
+fn outcome(answer: &Answer) -> (u16, String, String) {
     let body: Value = serde_json::from_str(&answer.body).expect("problem details");
     let text = |name: &str| body[name].as_str().unwrap_or_default().to_owned();
     (answer.status, text("reason"), text("run"))
 }
 
 fn key_of(submit: &wire::Submit) -> String {
-    match &submit.request.as_ref().expect("a request").work {
+    match &submit.request.as_ref().expect("a submission has a request").work {
         Some(Work::Call(call)) => call.key.clone(),
         other => panic!("expected a call, got {other:?}"),
     }
 }
 
-// The connection to the agent breaks after a transfer was handed to it. Sent to another target it
-// could move funds twice; reported as not run, its caller would send it again.
+// The connection to the agent breaks after it received a call. If the entry sent the call to
+// another target, it could run twice; if it reported the call as not run, the caller would repeat
+// it.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_may_not_be_repeated_is_sent_once_and_its_loss_is_called_unknown() {
+async fn a_non_repeatable_call_is_sent_once_and_its_loss_is_reported_as_unknown() {
     let fleet = Fleet::new().await;
     let mut one = fleet.add_scripted_service("ledger", "ledger-1", false).await;
     let mut two = fleet.add_scripted_service("ledger", "ledger-2", false).await;
@@ -46,15 +47,16 @@
         submit = two.next_submit() => (submit, two, &mut one),
     };
     home.cut();
-    let answer = asking.await.expect("answered");
-    assert_eq!(told(&answer), (502, "agent-lost".into(), "unknown".into()));
+    let answer = asking.await.expect("the request task ends");
+    assert_eq!(outcome(&answer), (502, "agent-lost".into(), "unknown".into()));
     assert!(other.next_within(Duration::from_secs(5)).await.is_none(), "no second run");
 }
 
-// The home of a key is cut off from the entry. Sent elsewhere, the call could run beside one that
-// came through another entry; refused without saying so, its caller would not know.
+// The entry cannot reach the target to which an idempotency key is assigned. If it sent the call
+// to another target, the call could run there and, through another entry, at its own target too.
+// Without `not-run` in the refusal, the caller could not retry safely.
 #[tokio::test(start_paused = true)]
-async fn a_call_whose_home_is_out_of_reach_is_refused_as_not_run() {
+async fn a_call_whose_assigned_target_is_unreachable_is_refused_as_not_run() {
     let fleet = Fleet::new().await;
     let (one, _a) = fleet.add_service("ledger", "ledger-1", "sofia-1", false).await;
     let (two, _b) = fleet.add_service("ledger", "ledger-2", "sofia-1", false).await;
@@ -66,20 +68,20 @@
     for number in 0..16 {
         let answer = call(&entry, Some(&format!("t-{number}"))).await;
         if answer.status != 200 {
-            assert_eq!(told(&answer), (503, "agent-unreachable".into(), "not-run".into()));
+            assert_eq!(outcome(&answer), (503, "agent-unreachable".into(), "not-run".into()));
             refused += 1;
         }
     }
-    assert!((1..16).contains(&refused), "{refused} of 16 keys have their home at ledger-1");
+    assert!((1..16).contains(&refused), "{refused} of 16 keys are assigned to ledger-1");
     let runs = |service: &fake::MemoryService| service.runs().values().sum::<u32>();
     assert_eq!(runs(&one), 0);
     assert_eq!(runs(&two), 16 - refused);
 }
 
-// Two entries see different targets alive. If each chose among those, one key would have two
-// homes.
+// Two entries may reach different targets. If each chose among the targets that it reaches, one key
+// would be assigned to two targets.
 #[tokio::test(start_paused = true)]
-async fn a_key_has_the_same_home_through_all_entries() {
+async fn all_entries_assign_a_key_to_the_same_target() {
     let fleet = Fleet::new().await;
     let mut one = fleet.add_scripted_service("ledger", "ledger-1", false).await;
     let mut two = fleet.add_scripted_service("ledger", "ledger-2", false).await;
@@ -94,20 +96,20 @@
             tokio::spawn(async move { call(&entry, Some(&key)).await })
         };
         let (a, b) = (asking(left.clone(), key.clone()), asking(right.clone(), key));
-        let (home_left, seen) = tokio::select! {
+        let (target_left, seen) = tokio::select! {
             submit = one_left.next_submit() => (1, submit),
             submit = two_left.next_submit() => (2, submit),
         };
-        let (home_right, seen_right) = tokio::select! {
+        let (target_right, seen_right) = tokio::select! {
             submit = one_right.next_submit() => (1, submit),
             submit = two_right.next_submit() => (2, submit),
         };
-        assert_eq!(home_left, home_right);
+        assert_eq!(target_left, target_right);
         assert_eq!(key_of(&seen), key_of(&seen_right));
         a.abort();
         b.abort();
-        // The cancels of the two are read, so that the next round sees submissions only.
-        let (near, far) = if home_left == 1 {
+        // Receives both cancels, so that the next round receives only submissions.
+        let (near, far) = if target_left == 1 {
             (&mut one_left, &mut one_right)
         } else {
             (&mut two_left, &mut two_right)
@@ -117,10 +119,10 @@
     }
 }
 
-// A call without a key may not be repeated. Two of them with the same content are two calls, and
-// must not be taken for one.
+// Calls of a non-repeatable service without a key get an implicit one. Two calls with the same
+// content must get different keys, and a caller must not be able to choose an implicit key.
 #[tokio::test(start_paused = true)]
-async fn calls_without_a_key_get_one_each_that_no_caller_can_choose() {
+async fn calls_without_a_key_get_unique_keys_that_no_caller_can_choose() {
     let fleet = Fleet::new().await;
     let mut script = fleet.add_scripted_service("ledger", "ledger-1", false).await;
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
@@ -133,17 +135,17 @@
         let submit = connection.next_submit().await;
         keys.push(key_of(&submit));
         connection.refuse(submit.attempt, "log-unavailable", Progress::NotRun);
-        let answer = asking.await.expect("answered");
-        assert_eq!(told(&answer), (503, "log-unavailable".into(), "not-run".into()));
+        let answer = asking.await.expect("the request task ends");
+        assert_eq!(outcome(&answer), (503, "log-unavailable".into(), "not-run".into()));
     }
     assert!(keys[0] != keys[1] && keys[0].starts_with("implicit-"), "{keys:?}");
     assert_eq!(keys[2], "caller-implicit-1");
 }
 
-// A tile server breaks off in the middle of its answer. The volunteer would have to download the
-// tile again on a weak signal, although another instance has it.
+// An instance breaks off without answering. If the entry did not retry a repeatable call at another
+// instance, the caller would have to send it again.
 #[tokio::test(start_paused = true)]
-async fn a_call_that_may_be_repeated_is_answered_by_another_instance() {
+async fn a_repeatable_call_is_retried_at_another_instance() {
     let fleet = Fleet::new().await;
     let (one, _a) = fleet.add_service("ledger", "tiles-1", "sofia-1", true).await;
     let (two, _b) = fleet.add_service("ledger", "tiles-2", "sofia-1", true).await;
@@ -155,8 +157,8 @@
     assert_eq!(answers, [200, 200]);
 }
 
-// The platform's list says that a VM leaves, or an operator says so of a target. Work that is sent
-// there afterwards would be cut with the VM.
+// The platform's list marks a VM as leaving, or an operator marks a target so. Requests sent there
+// afterwards would break off when the VM stops.
 #[tokio::test(start_paused = true)]
 async fn a_leaving_target_gets_no_new_work_within_two_seconds() {
     let fleet = Fleet::new().await;
--- a/crates/itest/tests/sessions.rs
+++ b/crates/itest/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Golden files of whole sessions, as users would tell them: byte for byte the same on each run.
+//! Snapshot tests of whole sessions; their transcripts are the same, byte for byte, on each run.
 
 use bytes::Bytes;
 use conf::Kind;
@@ -8,46 +8,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One caller of a session, who writes down what it receives.
+/// A caller of a session; it records its requests and responses in the transcript.
 #[derive(Clone)]
-struct Person {
+struct SessionCaller {
     name: &'static str,
     entry: Arc<entry::Entry>,
     transcript: Transcript,
 }
 
-impl Person {
+impl SessionCaller {
     fn new(name: &'static str, entry: &Arc<entry::Entry>, transcript: &Transcript) -> Self {
         Self { name, entry: entry.clone(), transcript: transcript.clone() }
     }
 
-    /// The same person through another entry.
+    /// Returns the same caller with another entry.
     fn through(&self, entry: &Arc<entry::Entry>) -> Self {
         Self { entry: entry.clone(), ..self.clone() }
     }
 
-    /// Asks a model, waits for the streamed answer and writes it down.
+    /// Sends a chat completion request, waits for the streamed answer and records it.
     async fn ask(&self, question: &str, tokens: u32, urgent: bool) -> Answer {
-        let answer = self.ask_silently(question, tokens, urgent).await;
+        let answer = self.send_question(question, tokens, urgent).await;
         self.transcript.received(self.name, &answer);
         answer
     }
 
-    /// Asks several questions at once; the answers are written down in the questions' order, since
-    /// which of them ends first within a millisecond is chance.
+    /// Sends several requests at once; the answers are recorded in the requests' order, since the
+    /// order in which they end within a millisecond is not deterministic.
     async fn ask_all(&self, questions: Vec<String>, tokens: u32, urgent: bool) {
         let asking = questions.into_iter().map(|question| {
-            let person = self.clone();
-            tokio::spawn(async move { person.ask_silently(&question, tokens, urgent).await })
+            let caller = self.clone();
+            tokio::spawn(async move { caller.send_question(&question, tokens, urgent).await })
         });
         for asking in asking.collect::<Vec<_>>() {
-            let answer = asking.await.expect("the question is answered");
+            let answer = asking.await.expect("the request task ends");
             assert_eq!((answer.status, answer.cut), (200, false));
             self.transcript.received(self.name, &answer);
         }
     }
 
-    async fn ask_silently(&self, question: &str, tokens: u32, urgent: bool) -> Answer {
+    async fn send_question(&self, question: &str, tokens: u32, urgent: bool) -> Answer {
         self.transcript.note(self.name, &format!("asks «{}»", shorten(question)));
         let body = json!({
             "model": MODEL, "stream": true, "max_tokens": tokens, "fake_tokens": tokens,
@@ -61,7 +61,7 @@
         send(&self.entry, request).await
     }
 
-    /// Calls a plain service under a key and waits for its answer.
+    /// Calls a plain service with an idempotency key, waits for the response and records it.
     async fn call(&self, path: &str, key: &str, body: Value) -> Answer {
         self.transcript.note(self.name, &format!("calls {path} {body} with key {key}"));
         let request = http::Request::post(path).header("idempotency-key", key);
@@ -72,14 +72,14 @@
     }
 }
 
-/// The beginning of a long text.
+/// Shortens a long text.
 fn shorten(text: &str) -> String {
     const CHARS: usize = 60;
     let short: String = text.chars().take(CHARS).collect();
     if short.len() < text.len() { format!("{short}…") } else { short }
 }
 
-/// The audit trail, one line a change that came after the fleet was set up.
+/// The audit trail from offset `from`, which leaves out the changes that set the fleet up.
 fn audit(entry: &entry::Entry, from: u64) -> Vec<String> {
     let config = entry.config().borrow().clone();
     let later = config.audit().filter(|audit| audit.offset >= from);
@@ -99,18 +99,18 @@
     )
 }
 
-/// Metrics that tell what callers received.
+/// Metrics about responses, without those that are 0.
 fn metrics(entry: &entry::Entry) -> Vec<String> {
-    const TOLD: [&str; 4] = ["goodput", "refus", "resume", "attempts"];
+    const NAMES: [&str; 4] = ["goodput", "refus", "resume", "attempts"];
     let text = entry.metrics();
     let values = text.lines().filter(|line| !line.starts_with('#'));
-    let told = values.filter(|line| TOLD.iter().any(|name| line.contains(name)));
-    let mut told: Vec<_> = told.filter(|line| !line.ends_with(" 0")).map(str::to_owned).collect();
-    told.sort();
-    told
+    let shown = values.filter(|line| NAMES.iter().any(|name| line.contains(name)));
+    let mut shown: Vec<_> = shown.filter(|line| !line.ends_with(" 0")).map(str::to_owned).collect();
+    shown.sort();
+    shown
 }
 
-/// How often each call ran at the service's instances, the warming up left out.
+/// How often each call ran at the service's instances.
 fn runs(services: &[fake::MemoryService]) -> Vec<String> {
     let all = services.iter().flat_map(|service| service.runs());
     let mut lines: Vec<_> = all.map(|(call, runs)| format!("{runs} x {call}")).collect();
@@ -118,7 +118,7 @@
     lines
 }
 
-/// The orders that took effect, without their fencing numbers, which count renewals of leases too.
+/// The orders that took effect, without their fencing tokens, which lease renewals also advance.
 fn orders(engines: &[(String, fake::MemoryEngine)]) -> Vec<String> {
     let all = engines.iter().flat_map(|(name, engine)| {
         engine.orders().into_iter().map(move |(_, order)| format!("{name}: {order:?}"))
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_treasurers_day_at_sredets() {
+async fn calls_are_idempotent_and_streams_survive_a_drain() {
     let fleet = Fleet::new().await;
     let mut agents = Vec::new();
     let mut ledgers = Vec::new();
@@ -148,8 +148,8 @@
     let from = first.config().borrow().end();
 
     let transcript = Transcript::begin();
-    let desk = Person::new("finance desk", &first, &transcript);
-    let bank = Person::new("settlement bank", &second, &transcript);
+    let desk = SessionCaller::new("finance desk", &first, &transcript);
+    let bank = SessionCaller::new("settlement bank", &second, &transcript);
     desk.ask("Why is the subsidiary in Plovdiv overdrawn?", 6, false).await;
     bank.call("/services/ledger/sweeps", "sweep-0930", json!({"from": "plovdiv"})).await;
 
@@ -176,7 +176,7 @@
         });
         fleet.publish(Kind::Target, &name, spec).await;
     }
-    let answer = asking.await.expect("the desk is answered");
+    let answer = asking.await.expect("the request task ends");
     assert!(!answer.cut);
     desk.ask("And tomorrow?", 5, false).await;
     transcript.note("operator", "writes a resource that breaks a rule");
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_alert_at_relieve() {
+async fn urgent_requests_are_served_during_bulk_prefill_and_a_role_change() {
     let fleet = Fleet::new().await;
     let mut agents = Vec::new();
     let mut tiles = Vec::new();
@@ -214,9 +214,9 @@
     let from = first.config().borrow().end();
 
     let transcript = Transcript::begin();
-    let council = Person::new("village council", &first, &transcript);
-    let rescue = Person::new("rescue coordinator", &second, &transcript);
-    let volunteer = Person::new("volunteer", &first, &transcript);
+    let council = SessionCaller::new("village council", &first, &transcript);
+    let rescue = SessionCaller::new("rescue coordinator", &second, &transcript);
+    let volunteer = SessionCaller::new("volunteer", &first, &transcript);
     let metadata =
         "Survey LIDAR-2019, licence CC-BY, sensor notes: ".to_owned() + &"x".repeat(8_000);
     let surveys = (1..=40).map(|number| format!("{number}. Does it fit? {metadata}"));
@@ -230,7 +230,7 @@
     let slopes = ["north face", "east gully", "couloir"];
     let replies = slopes.map(|slope| format!("Which tiles cover the {slope}?"));
     rescue.ask_all(replies.to_vec(), 12, true).await;
-    reading.await.expect("the council is answered");
+    reading.await.expect("the request task ends");
     transcript.note("operator", "wants engine-1 for decoding");
     let spec = json!({
         "models": [MODEL], "domain": "site-2", "agent": agent_address("engine-1"), "role": "decode",
--- a/crates/itest/tests/thin.rs
+++ b/crates/itest/tests/smoke.rs
@@ -1,11 +1,11 @@
-//! The whole path, thin: one streamed chat and one service call, end to end.
+//! End-to-end smoke test: one streamed chat completion and one service call.
 
 use itest::{Fleet, MODEL, post};
 use serde_json::json;
 use std::time::Duration;
 
 #[tokio::test(start_paused = true)]
-async fn a_streamed_chat_and_a_service_call_are_answered_whole() {
+async fn a_streamed_chat_and_a_service_call_are_answered_completely() {
     let fleet = Fleet::new().await;
     let (_engine, _engine_agent) = fleet.add_engine("engine-1", "sofia-1").await;
     let (_ledger, _ledger_agent) = fleet.add_service("ledger", "ledger-1", "sofia-1", false).await;
--- a/crates/itest/tests/sockets.rs
+++ b/crates/itest/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! An entry on a real socket: how it stops, and what it makes of raw bytes.
+//! An entry on a real socket: graceful stop and malformed HTTP.
 
 use itest::{Fleet, text_of};
 use std::net::SocketAddr;
@@ -29,7 +29,10 @@
     socket.write_all(request.as_bytes()).await.expect("written");
     let mut answer = Vec::new();
     let reading = socket.read_to_end(&mut answer);
-    tokio::time::timeout(Duration::from_secs(20), reading).await.expect("in time").expect("read");
+    tokio::time::timeout(Duration::from_secs(20), reading)
+        .await
+        .expect("before the timeout")
+        .expect("read");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
@@ -39,10 +42,10 @@
 
 const READYZ: &str = "GET /readyz HTTP/1.1\r\nhost: e\r\nconnection: close\r\n\r\n";
 
-// An operator replaces an entry while an answer is streamed. The balancer must be told before
-// connections are refused, and the answer must not be cut.
+// An operator stops an entry while it streams an answer. The load balancer must see the readiness
+// check fail before connections are refused, and the answer must not be truncated.
 #[tokio::test]
-async fn a_stop_fails_readiness_first_and_cuts_no_stream() {
+async fn a_stop_fails_readiness_first_and_truncates_no_stream() {
     let fleet = Fleet::new().await;
     let (engine, _agent) = fleet.add_engine("engine-1", "sofia-1").await;
     engine.change(|model| model.token_time = Duration::from_millis(100));
@@ -60,18 +63,18 @@
     running.stop.cancel();
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert!(status(&exchange(running.address, READYZ).await).contains("503"));
-    let answer = streaming.await.expect("answered");
+    let answer = streaming.await.expect("the request task ends");
     assert!(answer.contains("data: [DONE]"), "{answer}");
-    assert!(answer.ends_with("0\r\n\r\n"), "the body ends properly");
-    running.task.await.expect("ended").expect("without an error");
+    assert!(answer.ends_with("0\r\n\r\n"), "the body ends with its last chunk");
+    running.task.await.expect("the entry task ends").expect("the entry stops without an error");
     assert!(TcpStream::connect(running.address).await.is_err());
     assert_eq!(text_of(&answer), "");
 }
 
-// A second request hides in the body of a first one whose length is told in two ways. Whoever
-// takes it for a request runs it without its caller's token.
+// Request smuggling: a second request stands in the body of a first one whose length is given in
+// two ways. A server that parses it as a request would run it unauthenticated.
 #[tokio::test]
-async fn a_request_that_hides_in_another_is_not_run() {
+async fn a_request_smuggled_in_a_body_is_not_run() {
     let fleet = Fleet::new().await;
     let (service, _agent) = fleet.add_service("ledger", "ledger-1", "sofia-1", true).await;
     let running = start(&fleet).await;
@@ -87,11 +90,11 @@
     let invalid = "GET /readyz HTTP/1.1\r\nhost : e\r\nbad name: 1\r\n\r\n";
     assert!(status(&exchange(running.address, invalid).await).contains("400"));
     running.stop.cancel();
-    running.task.await.expect("ended").expect("without an error");
+    running.task.await.expect("the entry task ends").expect("the entry stops without an error");
 }
 
-// Someone opens connections and sends a header byte by byte, or none at all. Kept for ever, they
-// would take all connections that the entry may have.
+// Slowloris: a client sends part of a request's headers and then nothing. If such connections were
+// never closed, they would use up all connections of the entry.
 #[tokio::test]
 async fn a_connection_that_never_finishes_its_headers_is_closed() {
     let fleet = Fleet::new().await;
@@ -104,5 +107,5 @@
     let _ = closed.await.expect("the entry closes it in time");
     assert!(!String::from_utf8_lossy(&answer).contains(" 200 "));
     running.stop.cancel();
-    running.task.await.expect("ended").expect("without an error");
+    running.task.await.expect("the entry task ends").expect("the entry stops without an error");
 }
--- a/crates/itest/tests/urgent.rs
+++ b/crates/itest/tests/urgent.rs
@@ -1,4 +1,4 @@
-//! Urgent requests while the fleet has more work than it can do.
+//! Urgent requests while the fleet is overloaded.
 
 use bytes::Bytes;
 use itest::{Answer, Fleet, MODEL, send};
@@ -21,11 +21,11 @@
     send(entry, request).await
 }
 
-// Village councils have far more metadata read than the engines can do, and a rescue coordinator
-// asks in the midst of it. Judged by all the work ahead, the reply would be refused as too late,
-// although it goes before that work.
+// 600 ordinary requests in 6 s overload two engines, and an urgent request arrives after every 50.
+// If admission counted all queued work, it would refuse the urgent request as unable to meet its
+// deadline, although urgent requests are served before that work.
 #[tokio::test(start_paused = true)]
-async fn urgent_requests_are_answered_while_a_flood_is_refused() {
+async fn urgent_requests_are_answered_during_overload() {
     let fleet = Fleet::new().await;
     let mut agents = Vec::new();
     for number in 1..=2 {
@@ -45,7 +45,7 @@
     }
     let mut refused = 0;
     while let Some(answer) = flood.join_next().await {
-        refused += u32::from(answer.expect("answered").status != 200);
+        refused += u32::from(answer.expect("the request task ends").status != 200);
     }
-    assert!(refused > 0, "the flood is more than the engines can do");
+    assert!(refused > 0, "the load exceeds the engines' capacity");
 }
--- a/crates/itest/tests/versions.rs
+++ b/crates/itest/tests/versions.rs
@@ -1,13 +1,12 @@
-//! A new version of a model comes into service while callers ask.
+//! Rollout of a new version of a model under load.
 
 use conf::Kind;
 use itest::{Fleet, MODEL, post};
 use serde_json::json;
 use std::time::Duration;
 
-// An operator puts a new version of a model in service. Loading its weights takes seconds at each
-// engine, one after another. A treasurer who asks meanwhile must be answered as before, and once
-// the engines have it, by the new version.
+// An operator rolls out a new version of a model. Each engine takes 4 s to load the weights, one
+// after another. No request may be refused meanwhile, and all engines must load the new version.
 #[tokio::test(start_paused = true)]
 async fn callers_are_served_while_a_new_version_is_loaded() {
     let fleet = Fleet::new().await;
