--- a/crates/fake/src/control.rs
+++ b/crates/fake/src/control.rs
@@ -1,7 +1,7 @@
-//! Faults that are set while a stand-in runs, and what it reports of itself.
+//! Runtime control of stand-ins: fault injection, and reports of what happened at a stand-in.
 //!
-//! Each stand-in reads its own faults as a JSON object: fields that are left out stay as they
-//! are, and unknown ones are refused, so that a misspelt fault isn't taken for one that is set.
+//! Each stand-in parses its faults from a JSON object: omitted fields keep their values, and
+//! unknown fields are refused, so that a misspelt fault is not mistaken for one that is set.
 
 use crate::{MemoryEngine, MemoryLog, MemoryService, MemoryVms, MemoryWeights};
 use compact_str::CompactString;
@@ -12,10 +12,10 @@
 
 /// A stand-in whose faults can be set while it runs.
 pub trait Control: Send + Sync {
-    /// Sets the faults that `faults` names; an error says which field is wrong and sets nothing.
+    /// Sets the given faults; an error names the invalid field, and then nothing is set.
     fn set(&self, faults: Value) -> serde_json::Result<()>;
 
-    /// What happened at the stand-in so far.
+    /// Reports the calls, orders and other events of the stand-in so far.
     fn report(&self) -> Value;
 }
 
@@ -125,16 +125,16 @@
             Some(false) if self.is_down() => self.start(),
             Some(false) | None => {}
         }
-        self.change(|model| {
-            model.slow = faults.slow.unwrap_or(model.slow).max(0.0);
-            model.checks_fencing = faults.checks_fencing.unwrap_or(model.checks_fencing);
-            model.prefill_rate = faults.prefill_rate.unwrap_or(model.prefill_rate).max(1);
-            model.token_time = faults.token_time.unwrap_or(model.token_time);
-            model.role_change = faults.role_change.unwrap_or(model.role_change);
-            model.load = faults.load.unwrap_or(model.load);
-            // An empty text would crash the engine on each prompt; it takes the fault away.
+        self.change(|params| {
+            params.slow = faults.slow.unwrap_or(params.slow).max(0.0);
+            params.checks_fencing = faults.checks_fencing.unwrap_or(params.checks_fencing);
+            params.prefill_rate = faults.prefill_rate.unwrap_or(params.prefill_rate).max(1);
+            params.token_time = faults.token_time.unwrap_or(params.token_time);
+            params.role_change = faults.role_change.unwrap_or(params.role_change);
+            params.load = faults.load.unwrap_or(params.load);
+            // Every prompt contains the empty text, so an empty value clears the fault.
             if let Some(text) = faults.crash_on {
-                model.crash_on = (!text.is_empty()).then_some(text);
+                params.crash_on = (!text.is_empty()).then_some(text);
             }
         });
         Ok(())
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -1,7 +1,7 @@
-//! A language-model engine in memory: continuous batching in outline, and its faults.
+//! A language-model engine in memory: a coarse simulation of continuous batching, with faults.
 //!
-//! The answer depends on the prompt alone, token by token, so that any engine goes on exactly
-//! where another stopped and a test can tell a whole answer from a torn one.
+//! The answer is a function of the prompt alone, token by token, so that any engine continues
+//! exactly where another stopped, and a test can distinguish a complete answer from a corrupt one.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -16,33 +16,33 @@
 };
 use tokio::sync::{Notify, OwnedSemaphorePermit, Semaphore};
 
-/// Length of each token of the stand-in's answers, in bytes.
+/// Length of each token of prompts and answers, in bytes.
 pub const TOKEN_BYTES: usize = 4;
 
 /// Speeds and faults of a stand-in engine.
 #[derive(Debug, Clone)]
 pub struct EngineParams {
-    /// Prompt tokens a second; prompts are read one after another.
+    /// Prompt tokens prefilled per second; prompts are prefilled one at a time.
     pub prefill_rate: u32,
     /// Time between two tokens of one job when it runs alone.
     pub token_time: Duration,
-    /// Jobs that run side by side; the time between tokens doubles when all do.
+    /// Jobs that run concurrently; the time between tokens doubles when all slots are taken.
     pub slots: u32,
     /// How long a change of role takes.
     pub role_change: Duration,
     /// How long loading weights takes.
     pub load: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an old fencing token are refused.
     pub checks_fencing: bool,
     /// A prompt that contains this text crashes the engine.
     pub crash_on: Option<String>,
-    /// Everything takes this many times as long.
+    /// Factor by which all durations are multiplied.
     pub slow: f64,
-    /// How much faster than a mixed engine an engine of a role does the work of its role.
-    pub suited: f64,
-    /// How much faster than a mixed engine an engine of a role does other work: below 1.
-    pub unsuited: f64,
-    /// How much longer a mixed engine takes to the next token while it reads a prompt.
+    /// Speed of a prefill or decode engine at the work of its role, relative to a mixed engine.
+    pub in_role_speed: f64,
+    /// Speed of a prefill or decode engine at other work, relative to a mixed engine: below 1.
+    pub off_role_speed: f64,
+    /// Factor by which a mixed engine's time between tokens grows while it prefills a prompt.
     pub interference: f64,
 }
 
@@ -57,30 +57,31 @@
             checks_fencing: true,
             crash_on: None,
             slow: 1.0,
-            suited: 1.5,
-            unsuited: 0.25,
+            in_role_speed: 1.5,
+            off_role_speed: 0.25,
             interference: 1.5,
         }
     }
 }
 
 impl EngineParams {
-    /// Time to read `tokens` tokens of a prompt in a role.
+    /// Time to prefill `tokens` tokens of a prompt in a role.
     fn prefill_time(&self, role: Role, tokens: u32) -> Duration {
         let speed = match role {
-            Role::Prefill => self.suited,
-            Role::Decode => self.unsuited,
+            Role::Prefill => self.in_role_speed,
+            Role::Decode => self.off_role_speed,
             Role::Mixed => 1.0,
         };
         let seconds = f64::from(tokens) / (f64::from(self.prefill_rate) * speed);
         Duration::from_secs_f64(seconds * self.slow)
     }
 
-    /// Time to the next token in a role, with `share` (0 to 1) of the slots taken.
+    /// Time to the next token in a role, with `share` (0 to 1) of the slots taken; `prefilling`:
+    /// whether the engine prefills a prompt meanwhile.
     fn decode_time(&self, role: Role, share: f64, prefilling: bool) -> Duration {
         let factor = match role {
-            Role::Prefill => 1.0 / self.unsuited,
-            Role::Decode => 1.0 / self.suited,
+            Role::Prefill => 1.0 / self.off_role_speed,
+            Role::Decode => 1.0 / self.in_role_speed,
             Role::Mixed if prefilling => self.interference,
             Role::Mixed => 1.0,
         };
@@ -98,7 +99,7 @@
 }
 
 struct Inner {
-    model: EngineParams,
+    params: EngineParams,
     status: Status,
     cancelled: HashSet<CompactString>,
     imported: HashMap<CompactString, Bytes>,
@@ -113,12 +114,12 @@
 
 impl MemoryEngine {
     /// Makes an engine that serves the names in `serves`.
-    pub fn new(model: EngineParams, serves: &[&str]) -> Self {
+    pub fn new(params: EngineParams, serves: &[&str]) -> Self {
         let serves = serves.iter().map(|name| name.to_compact_string()).collect();
         let status = Status { serves, incarnation: 1, ..Status::default() };
-        let slots = Arc::new(Semaphore::new(usize::try_from(model.slots).unwrap_or(usize::MAX)));
+        let slots = Arc::new(Semaphore::new(usize::try_from(params.slots).unwrap_or(usize::MAX)));
         let inner = Inner {
-            model,
+            params,
             status,
             cancelled: HashSet::new(),
             imported: HashMap::new(),
@@ -140,10 +141,10 @@
 
     /// Changes speeds and faults.
     pub fn change(&self, change: impl FnOnce(&mut EngineParams)) {
-        change(&mut self.lock().model);
+        change(&mut self.lock().params);
     }
 
-    /// Crashes the engine: running jobs are cut, and it takes none until it is started.
+    /// Crashes the engine: running jobs break off, and it accepts none until it is started.
     pub fn crash(&self) {
         {
             let mut inner = self.lock();
@@ -153,7 +154,7 @@
         self.crashed.notify_waiters();
     }
 
-    /// Starts a crashed engine afresh, in the role and with the models it began with.
+    /// Starts a crashed engine as a new incarnation with empty caches; its role and models stay.
     pub fn start(&self) {
         let mut inner = self.lock();
         inner.down = false;
@@ -163,27 +164,27 @@
         inner.imported.clear();
     }
 
-    /// The orders that took effect, in the order in which they did.
+    /// The orders that took effect, oldest first.
     pub fn orders(&self) -> Vec<(FencingToken, Order)> {
         self.lock().orders.clone()
     }
 
-    /// How many orders came while another was still being carried out.
+    /// Number of orders that arrived while another was being carried out.
     pub fn conflicts(&self) -> u32 {
         self.lock().conflicts
     }
 
-    /// Whether the engine has crashed and was not started again.
+    /// Whether the engine has crashed and has not been started again.
     pub fn is_down(&self) -> bool {
         self.lock().down
     }
 
-    /// How often the engine crashed.
+    /// Number of crashes.
     pub fn crashes(&self) -> u32 {
         self.lock().crashes
     }
 
-    /// How many jobs were started, and how many of them came to their end.
+    /// Numbers of jobs started and of jobs that ran to their end.
     pub fn jobs(&self) -> (u64, u64) {
         let inner = self.lock();
         (inner.started, inner.finished)
@@ -193,53 +194,53 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn up(&self, step: &'static str) -> Result<EngineParams> {
+    fn ensure_up(&self, step: &'static str) -> Result<EngineParams> {
         let inner = self.lock();
-        if inner.down { Err(not_reached(step)) } else { Ok(inner.model.clone()) }
+        if inner.down { Err(not_reached(step)) } else { Ok(inner.params.clone()) }
     }
 
     fn admit(&self, job: &Job) -> Result<EngineParams> {
-        let model = self.up("generate")?;
+        let params = self.ensure_up("generate")?;
         let inner = self.lock();
         let unserved = !inner.status.serves.contains(&job.serve);
         if unserved || inner.status.busy {
             let detail = format_compact!("{} is not in service", job.serve);
             return Err(refused("generate", detail));
         }
-        Ok(model)
+        Ok(params)
     }
 
-    /// Waits for a slot and reads the prompt; returns the cached tokens.
-    async fn prefill(&self, job: &Job, model: &EngineParams) -> u32 {
+    /// Prefills the prompt, one at a time; returns the number of cached tokens.
+    async fn prefill(&self, job: &Job, params: &EngineParams) -> u32 {
         let prompt_tokens = tokens_of(&job.prompt);
-        let prefix = xxhash_rust::xxh3::xxh3_64(head_of(&job.prompt).as_bytes());
+        let prefix = xxhash_rust::xxh3::xxh3_64(prefix_of(&job.prompt).as_bytes());
         let imported = self.lock().imported.remove(&job.id).is_some();
         let cached = if imported || !self.lock().prefixes.insert(prefix) {
             if imported { prompt_tokens } else { prompt_tokens / 2 }
         } else {
             0
         };
-        let _turn = self.prefill.lock().await;
+        let _guard = self.prefill.lock().await;
         let fresh = prompt_tokens - cached + job.resume_tokens / 8;
         let role = self.lock().status.role;
-        pause(model.prefill_time(role, fresh)).await;
+        pause(params.prefill_time(role, fresh)).await;
         cached
     }
 }
 
-/// Length of a text in tokens, as the stand-in counts it.
+/// Length of a text in tokens of [`TOKEN_BYTES`].
 fn tokens_of(text: &str) -> u32 {
     u32::try_from(text.len().div_ceil(TOKEN_BYTES)).unwrap_or(u32::MAX)
 }
 
-/// The part of a prompt that counts as its prefix.
-fn head_of(text: &str) -> &str {
+/// The part of a prompt that identifies its prefix in the prefix cache.
+fn prefix_of(text: &str) -> &str {
     const PREFIX_BYTES: usize = 64;
     let end = (0..=PREFIX_BYTES.min(text.len())).rev().find(|end| text.is_char_boundary(*end));
     &text[..end.unwrap_or(0)]
 }
 
-/// The token at `index` of the answer to `prompt`: always [`TOKEN_BYTES`] long.
+/// The token at `index` of the answer to the prompt with hash `prompt`, [`TOKEN_BYTES`] long.
 fn token(prompt: u64, index: u32) -> String {
     const LETTERS: &[u8; 16] = b"abdefgiklmnoprst";
     let hash = xxhash_rust::xxh3::xxh3_64_with_seed(&index.to_le_bytes(), prompt);
@@ -247,22 +248,22 @@
     format!(" {}{}{}", letter(0), letter(8), letter(16))
 }
 
-/// How long the answer to `prompt` is, if it may be long enough.
+/// Length in tokens of the answer to the prompt with hash `prompt`, before the limit on tokens.
 fn answer_tokens(prompt: u64, sampling: &Bytes) -> u32 {
-    let wanted = serde_json::from_slice::<serde_json::Value>(sampling).ok();
-    let wanted = wanted.and_then(|value| value.get("fake_tokens")?.as_u64());
-    wanted.map_or(8 + (prompt % 57) as u32, |tokens| u32::try_from(tokens).unwrap_or(u32::MAX))
+    let requested = serde_json::from_slice::<serde_json::Value>(sampling).ok();
+    let requested = requested.and_then(|value| value.get("fake_tokens")?.as_u64());
+    requested.map_or(8 + (prompt % 57) as u32, |tokens| u32::try_from(tokens).unwrap_or(u32::MAX))
 }
 
-/// The whole answer to `prompt`, so that a reader can tell it from a torn one.
+/// The complete answer to `prompt`, against which received answers can be verified.
 pub fn answer(prompt: &str, sampling: &Bytes, max_tokens: u32) -> String {
     let hash = xxhash_rust::xxh3::xxh3_64(prompt.as_bytes());
     let length = answer_tokens(hash, sampling).min(max_tokens);
     (0..length).map(|index| token(hash, index)).collect()
 }
 
-/// Sleeps. The timer goes by milliseconds and would draw a tiny time out to a whole one, which
-/// bounds an engine at a thousand prompts a second, however fast it is said to be.
+/// Sleeps, except for durations up to 20 µs. The timer has a resolution of a millisecond; rounding
+/// such durations up would limit an engine to 1,000 prompts a second, whatever its parameters.
 async fn pause(time: Duration) {
     const TINY: Duration = Duration::from_micros(20);
     if time > TINY {
@@ -306,14 +307,14 @@
     }
 
     async fn work(&mut self) -> Result<Output> {
-        let model = self.engine.lock().model.clone();
+        let params = self.engine.lock().params.clone();
         if self.slot.is_none() {
             self.slot = self.engine.slots.clone().acquire_owned().await.ok();
         }
         if self.cached.is_none() {
-            self.cached = Some(self.engine.prefill(&self.job, &model).await);
+            self.cached = Some(self.engine.prefill(&self.job, &params).await);
         }
-        if model.crash_on.as_ref().is_some_and(|text| self.job.prompt.contains(text.as_str())) {
+        if params.crash_on.as_ref().is_some_and(|text| self.job.prompt.contains(text.as_str())) {
             self.engine.crash();
             return Err(broken("generate", "the engine crashed"));
         }
@@ -323,12 +324,12 @@
         if self.next >= self.length {
             return Ok(self.end());
         }
-        let busy = self.engine.slots.available_permits();
-        let slots = f64::from(model.slots);
-        let share = 1.0 - f64::from(u32::try_from(busy).unwrap_or(u32::MAX)) / slots;
+        let free = self.engine.slots.available_permits();
+        let slots = f64::from(params.slots);
+        let share = 1.0 - f64::from(u32::try_from(free).unwrap_or(u32::MAX)) / slots;
         let role = self.engine.lock().status.role;
         let prefilling = self.engine.prefill.try_lock().is_err();
-        pause(model.decode_time(role, share, prefilling)).await;
+        pause(params.decode_time(role, share, prefilling)).await;
         let text = token(self.prompt, self.next);
         self.next += 1;
         Ok(Output::Text { text, tokens: 1 })
@@ -336,8 +337,8 @@
 
     fn end(&self) -> Output {
         self.engine.lock().finished += 1;
-        let whole = answer_tokens(self.prompt, &self.job.sampling);
-        let finish = if whole > self.job.max_tokens { Finish::Length } else { Finish::Stop };
+        let full_length = answer_tokens(self.prompt, &self.job.sampling);
+        let finish = if full_length > self.job.max_tokens { Finish::Length } else { Finish::Stop };
         let usage = Usage {
             prompt_tokens: tokens_of(&self.job.prompt),
             completion_tokens: self.length,
@@ -375,20 +376,20 @@
     }
 
     async fn cancel(&self, id: &str) -> Result<()> {
-        self.up("cancel")?;
+        self.ensure_up("cancel")?;
         self.lock().cancelled.insert(id.to_compact_string());
         Ok(())
     }
 
     async fn order(&self, fence: FencingToken, order: &Order) -> Result<()> {
-        let model = self.up("order")?;
+        let params = self.ensure_up("order")?;
         {
             let mut inner = self.lock();
-            if model.checks_fencing && fence < inner.status.fence {
+            if params.checks_fencing && fence < inner.status.fence {
                 let newest = inner.status.fence;
                 return Err(Error::Fenced { step: "order", peer: PEER, newest });
             }
-            if model.checks_fencing {
+            if params.checks_fencing {
                 inner.status.fence = fence;
             }
             if inner.status.busy {
@@ -398,15 +399,15 @@
             inner.status.busy = true;
         }
         if matches!(order, Order::SetRole { .. }) {
-            // A change of role takes the engine out of service: what still runs is cut.
+            // A change of role takes the engine out of service: running jobs break off.
             self.crashed.notify_waiters();
         }
         let time = match order {
-            Order::SetRole { .. } => model.role_change,
-            Order::Load { .. } => model.load,
+            Order::SetRole { .. } => params.role_change,
+            Order::Load { .. } => params.load,
             Order::Unload { .. } => Duration::ZERO,
         };
-        pause(time.mul_f64(model.slow)).await;
+        pause(time.mul_f64(params.slow)).await;
         let mut inner = self.lock();
         if inner.down {
             return Err(broken("order", "the engine crashed"));
@@ -423,17 +424,17 @@
     }
 
     async fn status(&self) -> Result<Status> {
-        self.up("status")?;
+        self.ensure_up("status")?;
         Ok(self.lock().status.clone())
     }
 
     async fn export_kv(&self, id: &str) -> Result<Bytes> {
-        self.up("export KV")?;
+        self.ensure_up("export KV")?;
         Ok(Bytes::from(format!("kv:{id}")))
     }
 
     async fn import_kv(&self, id: &str, cache: Bytes) -> Result<()> {
-        self.up("import KV")?;
+        self.ensure_up("import KV")?;
         self.lock().imported.insert(id.to_compact_string(), cache);
         Ok(())
     }
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behind the protocols that the real system speaks, each a `salvo` service.
+//! Serves the stand-ins over the protocols of the real systems, each as a `salvo` router.
 
 mod control;
 mod engine;
@@ -23,12 +23,12 @@
 pub struct BoundServer {
     acceptor: TcpAcceptor,
     router: Router,
-    /// The address really bound.
+    /// The bound address, with the real port.
     pub address: SocketAddr,
 }
 
 impl BoundServer {
-    /// Binds `address`, `host:port`; port 0 takes a free one.
+    /// Binds `address`, `host:port`; port 0 selects a free one.
     pub async fn bind(address: &str, router: Router) -> io::Result<Self> {
         let socket = wire::listen(address).await?;
         let address = socket.local_addr()?;
@@ -41,14 +41,14 @@
     }
 }
 
-/// Closes the connection without an answer, as a process that is killed does.
+/// Closes the connection without a response, as a killed process does.
 async fn break_off(flow: &salvo::FlowCtrl) {
     flow.conn().abort();
     // The server drops this handler as it closes the connection.
     std::future::pending().await
 }
 
-/// Answers with JSON and a status.
+/// Writes a JSON response with a status.
 fn render<T: serde::Serialize + Send>(
     response: &mut salvo::Response,
     status: salvo::http::StatusCode,
--- a/crates/fake/src/http/control.rs
+++ b/crates/fake/src/http/control.rs
@@ -1,4 +1,4 @@
-//! The route on which a stand-in's faults are set and its report is read.
+//! HTTP route that sets a stand-in's faults and returns its report.
 
 use super::render;
 use crate::Control;
@@ -32,7 +32,7 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        // Whatever media type `curl -d` claims, the body is JSON.
+        // The body is JSON whatever its media type: `curl -d` does not send `application/json`.
         let body = request.payload().await.cloned().unwrap_or_default();
         let faults = serde_json::from_slice::<Value>(&body);
         match faults.and_then(|faults| self.control.set(faults)) {
--- a/crates/fake/src/http/engine.rs
+++ b/crates/fake/src/http/engine.rs
@@ -1,4 +1,4 @@
-//! A language-model engine.
+//! HTTP routes of an engine.
 
 use super::{break_off, render};
 use async_trait::async_trait;
@@ -11,7 +11,8 @@
 use target::http::bodies::{Choice, Chunk, CompletionBody, FencedBody, OrderBody};
 use target::{Engine, Error, Finish, Job, Output, Outputs};
 
-/// Serves an engine by the OpenAI-compatible protocol and the order routes.
+/// Serves an engine over the OpenAI-compatible protocol, with the routes for orders, status and KV
+/// caches.
 pub fn engine_router(engine: Arc<dyn Engine>) -> Router {
     let route = |path: &str| Router::with_path(path.to_owned());
     let at = |action| Route { engine: engine.clone(), action };
@@ -118,7 +119,7 @@
     }
 }
 
-/// The stream of server-sent events; an error cuts it, as a crashed engine's would be.
+/// The stream of server-sent events; an error breaks it off, as a crash of the engine does.
 fn events(outputs: Outputs) -> impl futures_util::Stream<Item = Result<Bytes, Error>> + Send {
     outputs.flat_map(|output| {
         let pieces = match output {
--- a/crates/fake/src/http/log.rs
+++ b/crates/fake/src/http/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! HTTP routes of the log.
 
 use super::render;
 use async_trait::async_trait;
--- a/crates/fake/src/http/service.rs
+++ b/crates/fake/src/http/service.rs
@@ -1,4 +1,4 @@
-//! A plain service.
+//! HTTP routes of a plain service.
 
 use super::break_off;
 use async_trait::async_trait;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use target::{Call, Header, Service};
 
-/// Serves every path by the service.
+/// Forwards requests of all paths and methods to the service.
 pub fn service_router(service: Arc<dyn Service>) -> Router {
     Router::with_path("{**rest}").goal(Forward { service })
 }
@@ -35,8 +35,9 @@
         let body = body.unwrap_or_default();
         let answer = self.service.call(call(request, body)).await;
         let Ok(answer) = answer else {
-            // Any status would be a complete answer, from which an agent learns that the call
-            // ran; a service that is killed half-way leaves a closed connection and a doubt.
+            // Any status would be a complete response, from which an agent concludes that the call
+            // ended; a service killed in mid-call closes the connection and leaves the outcome
+            // unknown.
             return break_off(flow).await;
         };
         response.status_code(StatusCode::from_u16(answer.status).unwrap_or_default());
--- a/crates/fake/src/http/vms.rs
+++ b/crates/fake/src/http/vms.rs
@@ -1,4 +1,4 @@
-//! The list of VMs.
+//! HTTP route of the list of VMs.
 
 use super::render;
 use async_trait::async_trait;
--- a/crates/fake/src/http/weights.rs
+++ b/crates/fake/src/http/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store.
+//! HTTP route of the weight store.
 
 use super::render;
 use async_trait::async_trait;
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for the platform and the targets, for `dev`, for tests and for trying things out.
+//! Stand-ins for the platform and the targets, for `dev`, tests and experiments.
 //!
-//! Each stand-in lives in memory and implements the trait at the border, with faults that can be
-//! set; [`http`] puts it behind the protocol that the real system speaks.
+//! Each stand-in keeps its state in memory, implements the trait of the system that it replaces,
+//! and has faults that can be injected; [`http`] serves it over the protocol of the real system.
 
 mod control;
 mod engine;
--- a/crates/fake/src/log.rs
+++ b/crates/fake/src/log.rs
@@ -1,4 +1,4 @@
-//! An append-only log in memory, with the faults of a real one.
+//! An append-only log in memory, with injectable faults.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -20,10 +20,10 @@
 #[derive(Default)]
 struct Inner {
     streams: HashMap<CompactString, Stream>,
-    out: bool,
+    unavailable: bool,
     delay: Duration,
     lost_replies: u32,
-    late: (u32, Duration),
+    delayed_writes: (u32, Duration),
     retention: Option<Duration>,
     appends: u64,
     bytes: u64,
@@ -38,68 +38,68 @@
 }
 
 impl MemoryLog {
-    /// Makes an empty log.
+    /// Makes an empty log without faults.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the log out of service, or puts it back.
-    pub fn set_unavailable(&self, out: bool) {
-        self.lock().out = out;
+    /// Makes all calls fail, or succeed again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.lock().unavailable = unavailable;
         self.grown.notify_waiters();
     }
 
-    /// Makes each call take this long.
+    /// Delays each call by this time.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// Loses the replies of the next `count` appends, after the write.
+    /// Drops the replies of the next `count` appends, whose records are written.
     pub fn lose_replies(&self, count: u32) {
         self.lock().lost_replies = count;
     }
 
-    /// Loses the replies of the next `count` appends, and writes only `delay` later.
+    /// Drops the replies of the next `count` appends and writes their records only after `delay`.
     pub fn delay_writes(&self, count: u32, delay: Duration) {
-        self.lock().late = (count, delay);
+        self.lock().delayed_writes = (count, delay);
     }
 
-    /// Keeps records only this long.
+    /// Expires records after this time.
     pub fn set_retention(&self, retention: Duration) {
         self.lock().retention = Some(retention);
     }
 
-    /// Drops the records before `offset`, as a log does that forgets its history.
+    /// Drops the records before `offset`, as a log does when records expire.
     pub fn truncate_before(&self, stream: &str, offset: Offset) {
         let mut inner = self.lock();
-        let Some(kept) = inner.streams.get_mut(stream) else { return };
-        while kept.first < offset && kept.records.pop_front().is_some() {
-            kept.first += 1;
+        let Some(state) = inner.streams.get_mut(stream) else { return };
+        while state.first < offset && state.records.pop_front().is_some() {
+            state.first += 1;
         }
     }
 
-    /// Goes back to a copy that is so old: what was appended since is gone, and its offsets are given out
+    /// Restores a copy of this age: records appended since are lost, and their offsets are assigned
     /// again.
     pub fn rewind(&self, age: Duration) {
         let mut inner = self.lock();
-        for kept in inner.streams.values_mut() {
-            kept.rewind(age);
+        for state in inner.streams.values_mut() {
+            state.rewind(age);
         }
     }
 
-    /// How many bytes of records were appended.
+    /// Number of bytes of records appended.
     pub fn bytes(&self) -> u64 {
         self.lock().bytes
     }
 
-    /// The offset of the next record of each stream.
+    /// The end offset of each stream: that of its next record.
     pub fn streams(&self) -> BTreeMap<CompactString, Offset> {
         let inner = self.lock();
         let ends = inner.streams.iter();
-        ends.map(|(name, kept)| (name.clone(), kept.first + kept.records.len() as u64)).collect()
+        ends.map(|(name, state)| (name.clone(), state.first + state.records.len() as u64)).collect()
     }
 
-    /// How many append calls took effect.
+    /// Number of append calls whose records were written.
     pub fn appends(&self) -> u64 {
         self.lock().appends
     }
@@ -108,21 +108,21 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn reach(&self, step: &'static str) -> Result<()> {
-        let (out, delay) = {
+    async fn check_available(&self, step: &'static str) -> Result<()> {
+        let (fails, delay) = {
             let inner = self.lock();
-            (inner.out, inner.delay)
+            (inner.unavailable, inner.delay)
         };
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if out { Err(unavailable(step)) } else { Ok(()) }
+        if fails { Err(unavailable(step)) } else { Ok(()) }
     }
 
-    fn take_late(&self) -> Option<Duration> {
+    fn next_write_delay(&self) -> Option<Duration> {
         let mut inner = self.lock();
-        let (count, delay) = inner.late;
-        inner.late.0 = count.saturating_sub(1);
+        let (count, delay) = inner.delayed_writes;
+        inner.delayed_writes.0 = count.saturating_sub(1);
         (count > 0).then_some(delay)
     }
 
@@ -130,13 +130,13 @@
         let mut inner = self.lock();
         inner.appends += 1;
         inner.bytes += records.iter().map(|record| record.len() as u64).sum::<u64>();
-        let kept = inner.streams.entry(stream.to_compact_string()).or_default();
-        let offset = kept.first + kept.records.len() as u64;
+        let state = inner.streams.entry(stream.to_compact_string()).or_default();
+        let offset = state.first + state.records.len() as u64;
         let now = Instant::now();
         for (offset, bytes) in (offset..).zip(records.iter().cloned()) {
-            kept.note(Entry { offset, bytes });
+            state.update_newest(Entry { offset, bytes });
         }
-        kept.records.extend(records.into_iter().map(|bytes| (now, bytes)));
+        state.records.extend(records.into_iter().map(|bytes| (now, bytes)));
         drop(inner);
         self.grown.notify_waiters();
         offset
@@ -151,30 +151,30 @@
         Ok(self.write(stream, vec![record]))
     }
 
-    fn look(&self, stream: &str, from: Offset, limit: usize) -> Result<Batch> {
+    fn read_now(&self, stream: &str, from: Offset, limit: usize) -> Result<Batch> {
         let mut inner = self.lock();
-        if inner.out {
+        if inner.unavailable {
             return Err(unavailable("read"));
         }
         let retention = inner.retention;
-        let Some(kept) = inner.streams.get_mut(stream) else { return Ok(Batch::default()) };
-        kept.expire(retention);
-        if from < kept.first {
-            return Err(Error::Gone { stream: stream.to_compact_string(), oldest: kept.first });
+        let Some(state) = inner.streams.get_mut(stream) else { return Ok(Batch::default()) };
+        state.expire(retention);
+        if from < state.first {
+            return Err(Error::Gone { stream: stream.to_compact_string(), oldest: state.first });
         }
-        let end = kept.first + kept.records.len() as u64;
-        let skipped = usize::try_from(from - kept.first).unwrap_or(usize::MAX);
-        let records = kept.records.iter().skip(skipped).take(limit);
+        let end = state.first + state.records.len() as u64;
+        let skipped = usize::try_from(from - state.first).unwrap_or(usize::MAX);
+        let records = state.records.iter().skip(skipped).take(limit);
         let entries = (from..)
             .zip(records)
             .map(|(offset, (_, bytes))| Entry { offset, bytes: bytes.clone() });
-        Ok(Batch { entries: entries.collect(), oldest: kept.first, end })
+        Ok(Batch { entries: entries.collect(), oldest: state.first, end })
     }
 }
 
 impl Stream {
-    /// Keeps a record as the newest of its key, if it has one.
-    fn note(&mut self, entry: Entry) {
+    /// Records an entry as the newest of its key, if it has one.
+    fn update_newest(&mut self, entry: Entry) {
         let Some(record) = Record::decode(entry) else { return };
         match &record.value {
             Some(_) => self.newest.insert(record.key.clone(), record),
@@ -190,7 +190,7 @@
         self.newest.retain(|_, record| record.offset < end);
         let records: Vec<_> = (self.first..).zip(self.records.iter().cloned()).collect();
         for (offset, (_, bytes)) in records {
-            self.note(Entry { offset, bytes });
+            self.update_newest(Entry { offset, bytes });
         }
     }
 
@@ -206,8 +206,8 @@
 #[async_trait]
 impl Log for MemoryLog {
     async fn append(&self, stream: &str, records: Vec<Bytes>) -> Result<Offset> {
-        self.reach("append").await?;
-        if let Some(delay) = self.take_late() {
+        self.check_available("append").await?;
+        if let Some(delay) = self.next_write_delay() {
             let (log, stream) = (self.clone(), stream.to_compact_string());
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
@@ -229,12 +229,12 @@
         limit: usize,
         wait: Duration,
     ) -> Result<Batch> {
-        self.reach("read").await?;
+        self.check_available("read").await?;
         let until = Instant::now() + wait;
         loop {
             let mut grown = std::pin::pin!(self.grown.notified());
             grown.as_mut().enable();
-            let batch = self.look(stream, from, limit)?;
+            let batch = self.read_now(stream, from, limit)?;
             if !batch.entries.is_empty() || tokio::time::timeout_at(until, grown).await.is_err() {
                 return Ok(batch);
             }
@@ -245,11 +245,11 @@
 #[async_trait]
 impl KeyedLog for MemoryLog {
     async fn newest(&self, stream: &str) -> Result<Newest> {
-        self.reach("read newest").await?;
+        self.check_available("read newest").await?;
         let inner = self.lock();
-        let Some(kept) = inner.streams.get(stream) else { return Ok(Newest::default()) };
-        let end = kept.first + kept.records.len() as u64;
-        Ok(Newest { records: kept.newest.values().cloned().collect(), end })
+        let Some(state) = inner.streams.get(stream) else { return Ok(Newest::default()) };
+        let end = state.first + state.records.len() as u64;
+        Ok(Newest { records: state.newest.values().cloned().collect(), end })
     }
 
     async fn changes(
@@ -264,7 +264,7 @@
     }
 
     async fn append_at(&self, stream: &str, at: Offset, record: Bytes) -> Result<Offset> {
-        self.reach("append").await?;
+        self.check_available("append").await?;
         self.write_at(stream, at, record)
     }
 }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service in memory that remembers how often each call ran.
+//! A plain service in memory that counts the runs of each call.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use target::{Call, Error, Header, Response, Result, Service};
 
-/// A service that answers each call with what it received; clones share it.
+/// A service that echoes each call; clones share it.
 #[derive(Clone, Default)]
 pub struct MemoryService {
     inner: Arc<Mutex<Inner>>,
@@ -24,22 +24,22 @@
 }
 
 impl MemoryService {
-    /// Takes the service down, or up again.
+    /// Makes all calls fail before they run, or succeed again.
     pub fn set_down(&self, down: bool) {
         self.lock().down = down;
     }
 
-    /// Makes each call take this long.
+    /// Delays the answer to each call by this time.
     pub fn set_delay(&self, delay: Duration) {
         self.lock().delay = delay;
     }
 
-    /// Breaks off the next `count` calls after they ran.
+    /// Breaks off the next `count` calls after they ran, without an answer.
     pub fn lose_replies(&self, count: u32) {
         self.lock().lost_replies = count;
     }
 
-    /// How often each call ran, by `METHOD path body`.
+    /// Number of runs of each call, by `METHOD path body`.
     pub fn runs(&self) -> HashMap<CompactString, u32> {
         self.lock().runs.clone()
     }
--- a/crates/fake/src/vms.rs
+++ b/crates/fake/src/vms.rs
@@ -1,4 +1,4 @@
-//! A list of VMs in memory, which lags when told to.
+//! A list of VMs in memory, with a configurable lag.
 
 use async_trait::async_trait;
 use compact_str::CompactString;
@@ -16,29 +16,29 @@
 
 #[derive(Default)]
 struct Inner {
-    out: bool,
+    unavailable: bool,
     lag: Duration,
-    /// Each list with the time since which it is true, oldest first.
+    /// Each list with the time at which it was set, oldest first.
     lists: VecDeque<(Instant, Vec<Vm>)>,
 }
 
 impl MemoryVms {
-    /// Replaces the list; readers see it after the lag.
+    /// Replaces the list; readers get it after the lag.
     pub fn set(&self, vms: Vec<Vm>) {
         self.lock().lists.push_back((Instant::now(), vms));
     }
 
-    /// Makes changes show only after `lag`.
+    /// Delays the visibility of changes by `lag`.
     pub fn set_lag(&self, lag: Duration) {
         self.lock().lag = lag;
     }
 
-    /// Takes the list out of service, or puts it back.
-    pub fn set_unavailable(&self, out: bool) {
-        self.lock().out = out;
+    /// Makes all calls fail, or succeed again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.lock().unavailable = unavailable;
     }
 
-    /// The list as it is, without the lag.
+    /// The newest list, regardless of the lag.
     pub fn newest(&self) -> Vec<Vm> {
         self.lock().lists.back().map(|(_, vms)| vms.clone()).unwrap_or_default()
     }
@@ -52,7 +52,7 @@
 impl VmList for MemoryVms {
     async fn list(&self) -> Result<Vec<Vm>> {
         let mut inner = self.lock();
-        if inner.out {
+        if inner.unavailable {
             return Err(unavailable());
         }
         let lag = inner.lag;
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -1,4 +1,4 @@
-//! A weight store in memory, which limits how often it is read.
+//! A rate-limited weight store in memory.
 
 use async_trait::async_trait;
 use compact_str::{CompactString, ToCompactString, format_compact};
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct Inner {
     artifacts: Vec<Artifact>,
-    out: bool,
+    unavailable: bool,
     calls: u64,
     limited: u64,
     limit: Option<u32>,
@@ -24,29 +24,29 @@
 }
 
 impl MemoryWeights {
-    /// Puts an artifact of `bytes` bytes into the store.
+    /// Stores an artifact of `bytes` bytes.
     pub fn put(&self, name: &str, bytes: u64) {
         let sha256 = CompactString::default();
         let artifact = Artifact { name: name.to_compact_string(), bytes, sha256 };
         self.lock().artifacts.push(artifact);
     }
 
-    /// Refuses calls beyond so many a second; 0 takes the limit away.
+    /// Refuses calls above this rate; 0 removes the limit.
     pub fn limit(&self, calls_per_second: u32) {
         self.lock().limit = (calls_per_second > 0).then_some(calls_per_second);
     }
 
-    /// Takes the store out of service, or puts it back.
-    pub fn set_unavailable(&self, out: bool) {
-        self.lock().out = out;
+    /// Makes all calls fail, or succeed again.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.lock().unavailable = unavailable;
     }
 
-    /// How many calls were answered.
+    /// Number of calls within the limit.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
 
-    /// How many calls were refused because of the limit.
+    /// Number of calls refused because of the limit.
     pub fn limited(&self) -> u64 {
         self.lock().limited
     }
@@ -57,7 +57,7 @@
 }
 
 impl Inner {
-    /// Counts a call against the limit and says whether it may go on.
+    /// Counts a call against the limit of the current second; returns whether it is admitted.
     fn admit(&mut self) -> bool {
         const SECOND: Duration = Duration::from_secs(1);
         let Some(limit) = self.limit else { return true };
@@ -74,7 +74,7 @@
 impl WeightStore for MemoryWeights {
     async fn stat(&self, name: &str) -> Result<Artifact> {
         let mut inner = self.lock();
-        if inner.out {
+        if inner.unavailable {
             return Err(unavailable("set out of service"));
         }
         if !inner.admit() {
--- a/crates/fake/tests/control.rs
+++ b/crates/fake/tests/control.rs
@@ -1,4 +1,4 @@
-//! Faults set over the control route show at the protocol that the real system speaks.
+//! Faults set over the control route take effect on the protocol of the real system.
 
 use bytes::Bytes;
 use compact_str::ToCompactString;
@@ -21,11 +21,11 @@
     Call { method, path, headers: Vec::new(), body: Bytes::from_static(body) }
 }
 
-// A service is killed after it ran a call and before it answered. Were the stand-in to answer with
-// a status instead, the agent would take the call for one that is known to have ended, and no test
-// would ever meet the doubt that a caller of a transfer is in.
+// A service is killed after it ran a call and before it answered. If the stand-in answered with a
+// status instead, the agent would conclude that the call ended, and no test would exercise an
+// unknown outcome.
 #[tokio::test]
-async fn a_call_that_is_broken_off_ran_and_leaves_no_answer() {
+async fn a_call_broken_off_after_it_ran_gets_no_answer() {
     let service = MemoryService::default();
     let routes = service_router(Arc::new(service.clone()));
     let address = serve(control_router(Arc::new(service.clone()), routes)).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn an_engine_that_crashes_while_it_carries_out_an_order_leaves_no_answer() {
+async fn an_engine_that_crashes_during_an_order_sends_no_answer() {
     let engine = MemoryEngine::new(EngineParams::default(), &["m"]);
     let address = serve(engine_router(Arc::new(engine.clone()))).await;
     let client = HttpEngine::new(address);
@@ -85,7 +85,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_engine_is_fast_at_the_work_of_its_role_and_slow_at_other_work() {
+async fn engines_are_fast_in_their_role_and_slow_at_other_work() {
     let mut seen = Vec::new();
     for role in ["mixed", "prefill", "decode"] {
         let engine = MemoryEngine::new(EngineParams::default(), &["m"]);
@@ -93,6 +93,7 @@
         engine.order(1, &order.expect("the role is known")).await.expect("the engine is up");
         seen.push((role, time_of(&engine, 80_000, 0).await, time_of(&engine, 4, 100).await));
     }
-    // Role, milliseconds to read 20,000 tokens, milliseconds to generate 100 (with 1 to read 1).
+    // Role, milliseconds to prefill 20,000 tokens, and milliseconds to generate 100 tokens
+    // (including 1 ms to prefill 1 token).
     assert_eq!(seen, [("mixed", 1000, 301), ("prefill", 667, 901), ("decode", 4000, 201)]);
 }
--- a/crates/itest/tests/guarantees.rs
+++ b/crates/itest/tests/guarantees.rs
@@ -116,7 +116,7 @@
     let mut agents = Vec::new();
     for number in 1..=3 {
         let (engine, agent) = fleet.add_engine(&format!("engine-{number}"), "sofia-1").await;
-        engine.change(|model| model.token_time = Duration::from_millis(50));
+        engine.change(|params| params.token_time = Duration::from_millis(50));
         agents.push((engine, agent));
     }
     let entry = Arc::new(fleet.start_entry("entry-1", "sofia-1"));
--- a/crates/itest/tests/poison.rs
+++ b/crates/itest/tests/poison.rs
@@ -14,7 +14,7 @@
     let mut engines = Vec::new();
     for number in 1..=4 {
         let (engine, agent) = fleet.add_engine(&format!("engine-{number}"), "sofia-1").await;
-        engine.change(|model| model.crash_on = Some("poison".into()));
+        engine.change(|params| params.crash_on = Some("poison".into()));
         engines.push((engine, agent));
     }
     let entries =
@@ -63,7 +63,7 @@
     let mut engines = Vec::new();
     for number in 1..=9 {
         let (engine, agent) = fleet.add_engine(&format!("engine-{number}"), "sofia-1").await;
-        engine.change(|model| model.crash_on = Some("poison".into()));
+        engine.change(|params| params.crash_on = Some("poison".into()));
         engines.push((engine, agent));
     }
     let entries =
--- a/crates/itest/tests/responses.rs
+++ b/crates/itest/tests/responses.rs
@@ -161,7 +161,7 @@
         let name = format!("engine-{number}");
         let (engine, agent) = fleet.add_engine(&name, "sofia-1").await;
         // Slow enough that all streams are still running when the engine crashes.
-        engine.change(|model| model.token_time = Duration::from_millis(200));
+        engine.change(|params| params.token_time = Duration::from_millis(200));
         engines.push((name, engine));
         agents.push(agent);
     }
--- a/crates/itest/tests/sockets.rs
+++ b/crates/itest/tests/sockets.rs
@@ -48,7 +48,7 @@
 async fn a_stop_fails_readiness_first_and_truncates_no_stream() {
     let fleet = Fleet::new().await;
     let (engine, _agent) = fleet.add_engine("engine-1", "sofia-1").await;
-    engine.change(|model| model.token_time = Duration::from_millis(100));
+    engine.change(|params| params.token_time = Duration::from_millis(100));
     let running = start(&fleet).await;
     assert!(status(&exchange(running.address, READYZ).await).contains("200"));
     let body =
--- a/crates/itest/tests/versions.rs
+++ b/crates/itest/tests/versions.rs
@@ -14,7 +14,7 @@
     let mut engines = Vec::new();
     for number in 1..=3 {
         let (engine, agent) = fleet.add_engine(&format!("engine-{number}"), "sofia-1").await;
-        engine.change(|model| model.load = Duration::from_secs(4));
+        engine.change(|params| params.load = Duration::from_secs(4));
         engines.push(engine);
         agents.push(agent);
     }
