--- a/crates/load/src/answer.rs
+++ b/crates/load/src/answer.rs
@@ -1,4 +1,4 @@
-//! Reads a streamed answer: its text, its ids, and how it ends.
+//! Parses a streamed completion: its text, its event ids, and how it ended.
 
 use compact_str::{CompactString, ToCompactString};
 use eventsource_stream::{Event, Eventsource};
@@ -13,18 +13,18 @@
 pub(crate) enum Ending {
     /// With `[DONE]`.
     Done,
-    /// With an error event that gives a reason.
+    /// With an error event.
     Error { reason: CompactString, run: CompactString },
-    /// Without an end: the connection broke.
+    /// Without an end marker: the connection broke or an event was invalid.
     Broken,
 }
 
-/// What came of an answer so far, over all streams that carried it.
+/// The part of an answer received so far, over all streams that carried it.
 #[derive(Debug, Default)]
 pub(crate) struct Answer {
     pub(crate) text: String,
     pub(crate) last_id: String,
-    /// When each token came.
+    /// Arrival time of each piece; a piece is one token.
     pub(crate) times: Vec<Instant>,
 }
 
@@ -39,7 +39,7 @@
     text: String,
 }
 
-/// An error as OpenAI's clients know it, with what we add.
+/// An error object as in OpenAI's API, with the field `run` added by entries.
 #[derive(Deserialize)]
 pub(crate) struct ErrorBody {
     pub(crate) error: ErrorDetail,
@@ -53,20 +53,20 @@
 }
 
 impl Answer {
-    /// Reads a stream to its end and adds what it carries.
+    /// Reads a stream to its end and appends its content.
     pub(crate) async fn read(&mut self, body: Incoming) -> Ending {
         let mut events = std::pin::pin!(BodyDataStream::new(body).eventsource());
         loop {
             match next(&mut events).await {
                 Some(event) if event.event == "error" => return error(&event.data),
                 Some(event) if event.data == "[DONE]" => return Ending::Done,
-                Some(event) => self.take(event),
+                Some(event) => self.add_event(event),
                 None => return Ending::Broken,
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn add_event(&mut self, event: Event) {
         let Ok(chunk) = serde_json::from_str::<Chunk>(&event.data) else { return };
         let Some(choice) = chunk.choices.into_iter().next() else { return };
         if choice.text.is_empty() {
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The requests that a mix amounts to: when each arrives and what it asks.
+//! Generates the requests of a mix: when each arrives and what it asks for.
 
 use crate::Mix;
 use rand::{Rng, RngExt, SeedableRng};
@@ -6,26 +6,26 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// One request.
+/// One request of a mix.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// Counts the mix's requests from 0.
+    /// Index in the mix, from 0.
     pub number: u64,
-    /// When it arrives, since the beginning.
+    /// Arrival time since the start of the mix.
     pub at: Duration,
-    /// Its class's place in the mix.
+    /// Index of its class in the mix.
     pub class: usize,
-    /// Its caller's place in the mix.
+    /// Index of its caller in the mix.
     pub caller: usize,
     /// Length of its prompt, in tokens.
     pub prompt_tokens: u32,
     /// Length of its answer, in tokens.
     pub output_tokens: u32,
-    /// Which of the class's prompt beginnings it has.
+    /// Index of its prompt's prefix among those of the class.
     pub prefix: u32,
 }
 
-/// All requests of a mix in the order of their arrival.
+/// Iterator over the requests of a mix in the order of their arrival.
 pub struct Arrivals<'a> {
     mix: &'a Mix,
     random: ChaCha8Rng,
@@ -34,20 +34,20 @@
 }
 
 impl<'a> Arrivals<'a> {
-    /// Begins a mix.
+    /// Starts at the beginning of the mix, with its seed.
     pub fn new(mix: &'a Mix) -> Self {
         let random = ChaCha8Rng::seed_from_u64(mix.seed);
         Self { mix, random, at: Duration::ZERO, number: 0 }
     }
 
-    /// Requests a second at this time.
+    /// Arrival rate at the current time, in requests a second.
     fn rate(&self) -> f64 {
         let bursts = self.mix.bursts.iter();
         let now = bursts.filter(|burst| (burst.at..burst.at + burst.lasts).contains(&self.at));
         now.fold(self.mix.rate, |rate, burst| rate * burst.times)
     }
 
-    /// How far the swing has gone at this time: from 0 to 1 and back.
+    /// Phase of the swing at the current time: a triangle wave from 0 to 1 and back.
     fn swing(&self) -> f64 {
         if self.mix.swing.is_zero() {
             return 0.0;
@@ -89,7 +89,7 @@
     }
 }
 
-/// Picks a place by weight; the weights' sum is above 0, which the mix's check sees to.
+/// Picks an index at random by weight; the mix's check ensures that the sum of weights is above 0.
 fn pick(random: &mut impl Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let sum: f64 = weights.clone().sum();
     let mut left = random.random::<f64>() * sum;
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -19,33 +19,32 @@
 /// Why a request got no response.
 #[derive(Debug)]
 pub(crate) enum Failure {
-    /// Nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable,
-    /// It was sent, and the connection broke before the response's head.
+    /// The connection broke after the request was sent and before the response's head arrived.
     Broken,
 }
 
-/// How long a connection may take to come about, on a network of the fleet's own.
+/// Timeout of connection attempts, for a fleet on the local network.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a stand-in may take to report.
+/// Timeout for reading a stand-in's report.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Client {
-    /// Makes a client.
+    /// Makes a client that never retries by itself.
     pub(crate) fn new() -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
-        // The client must not send a call again by itself: that would be counted as the fleet's
-        // second run.
+        // A retry by the client itself would be counted as a call that the fleet ran twice.
         let client = legacy::Client::builder(TokioExecutor::new())
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and returns the response's head and the body to be read.
+    /// Sends a request and returns the response, whose body is yet to be read.
     pub(crate) async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -55,7 +54,7 @@
         })
     }
 
-    /// Reads a stand-in's report.
+    /// Reads a stand-in's report from its control route.
     pub(crate) async fn report(&self, address: &CompactString) -> Result<serde_json::Value> {
         const STEP: &str = "read a stand-in's report";
         let failed = |detail: String| Error::Exchange { step: STEP, peer: address.clone(), detail };
--- a/crates/load/src/error.rs
+++ b/crates/load/src/error.rs
@@ -1,4 +1,4 @@
-//! What can keep a mix from being sent.
+//! Errors of preparing a mix and of reading the stand-ins' reports.
 
 use compact_str::CompactString;
 
@@ -8,23 +8,23 @@
 /// An error of a mix or of reading the stand-ins' reports.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The mix is wrong.
+    /// The mix or the list of entries is invalid.
     #[error(transparent)]
     Mix(#[from] conf::Error),
-    /// An address is none.
+    /// An address is invalid.
     #[error("`{address}` is no address of the form host:port")]
     Address {
         /// The address as given.
         address: CompactString,
     },
-    /// An exchange failed.
+    /// A request to a stand-in failed.
     #[error("{step} at {peer}: {detail}")]
     Exchange {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The other side's address.
+        /// Address of the stand-in.
         peer: CompactString,
-        /// What was seen.
+        /// Cause of the failure.
         detail: String,
     },
 }
--- a/crates/load/src/length.rs
+++ b/crates/load/src/length.rs
@@ -1,23 +1,23 @@
-//! Lengths in tokens as distributions.
+//! Distributions of lengths in tokens.
 
 use rand::Rng;
 use rand_distr::{Distribution, LogNormal, Uniform};
 use serde::Deserialize;
 
-/// How long prompts or answers are, in tokens.
+/// Distribution of the length of prompts or answers, in tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(untagged)]
 pub enum Length {
-    /// Always the same.
+    /// A constant.
     Fixed(u32),
-    /// Log-normal, as lengths of real prompts and answers nearly are.
+    /// Log-normal, which approximates the lengths of real prompts and answers.
     Median {
-        /// Half are shorter.
+        /// The median.
         median: u32,
-        /// 95 in 100 are shorter.
+        /// The 95th percentile.
         p95: u32,
     },
-    /// Any length in a range, each as often.
+    /// Uniform over a range.
     Range {
         /// The shortest.
         min: u32,
@@ -30,7 +30,7 @@
 const Z95: f64 = 1.645;
 
 impl Length {
-    /// Whether the numbers fit each other.
+    /// Whether the parameters are consistent.
     pub(crate) fn is_valid(self) -> bool {
         match self {
             Length::Fixed(_) => true,
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Draws a length.
+    /// Draws a random length.
     pub(crate) fn draw(self, random: &mut impl Rng) -> u32 {
         match self {
             Length::Fixed(tokens) => tokens,
             Length::Median { median, p95 } => {
                 let (median, p95) = (f64::from(median), f64::from(p95));
                 let normal = LogNormal::new(median.ln(), (p95 / median).ln() / Z95);
-                whole(normal.map_or(median, |normal| normal.sample(random)))
+                round_bounded(normal.map_or(median, |normal| normal.sample(random)))
             }
             Length::Range { min, max } => {
                 Uniform::new_inclusive(min, max).map_or(min, |range| range.sample(random))
@@ -55,14 +55,14 @@
     }
 }
 
-/// Rounds a length that may be beyond all bounds.
+/// Rounds a length that may be unbounded or undefined.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "bounded before the cast, and undefined becomes 0"
 )]
-fn whole(tokens: f64) -> u32 {
-    /// Longer than any model's context.
+fn round_bounded(tokens: f64) -> u32 {
+    /// Longer than any model's context, in tokens.
     const LONGEST: f64 = 1_000_000.0;
     tokens.round().clamp(0.0, LONGEST) as u32
 }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,10 +1,11 @@
-//! Sends a described mix of requests to entries and judges what comes back as callers would.
+//! Load generator: sends a mix of requests to entries and verifies the responses as callers see
+//! them.
 //!
-//! Arrivals are open-loop: they come when the mix says so, whatever the fleet does with those
-//! before them, since a crowd doesn't wait for the fleet either.
+//! The load is open-loop: requests arrive at the times that the mix gives, whether or not earlier
+//! ones were answered, since independent callers do not wait for each other either.
 //!
-//! - [`Mix`]: the description, in YAML.
-//! - [`arrivals`]: the requests that a mix amounts to; the same each time for the same seed.
+//! - [`Mix`]: the description of the load, in YAML.
+//! - [`arrivals`]: generates the requests of a mix, deterministically for a seed.
 //! - [`run`]: sends them and returns a [`Report`].
 
 mod answer;
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -12,63 +12,63 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Mix {
-    /// How long requests arrive.
+    /// Time over which requests arrive.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "duration_ms")]
     pub duration: Duration,
-    /// The most requests that arrive.
+    /// Maximum number of requests.
     pub requests: u64,
-    /// Requests that arrive in a second, on average.
+    /// Average arrival rate, in requests a second.
     pub rate: f64,
-    /// The most requests open at a time; those beyond are not sent, and counted.
+    /// Maximum number of open requests; requests beyond it are not sent but counted as overflow.
     pub concurrency: usize,
-    /// How long to wait for open requests at the end.
+    /// Time to wait for open requests after the last arrival.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "settle_ms")]
     pub settle: Duration,
-    /// Decides all random numbers; the same seed gives the same requests.
+    /// Seed of all random numbers; the same seed gives the same requests.
     pub seed: u64,
-    /// The model asked.
+    /// Model that prompts are sent to.
     pub model: CompactString,
-    /// The time in which `share_at_peak` of all classes is reached and left again; 0 for never.
+    /// Period in which the shares of all classes swing to `share_at_peak` and back; 0 disables it.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "swing_ms")]
     pub swing: Duration,
-    /// Times in which more requests arrive.
+    /// Intervals with a multiple of the arrival rate.
     pub bursts: Vec<Burst>,
-    /// Who sends.
+    /// Callers that send requests.
     pub callers: Vec<Caller>,
-    /// What is sent.
+    /// Kinds of requests.
     pub classes: Vec<Class>,
 }
 
-/// A time in which more requests arrive.
+/// An interval with a multiple of the arrival rate.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// When it begins.
+    /// Start, from the beginning of the mix.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "at_ms")]
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "lasts_ms")]
     pub lasts: Duration,
-    /// How many times as many requests arrive.
+    /// Factor by which the arrival rate is multiplied.
     pub times: f64,
 }
 
-/// Someone who sends.
+/// A caller that sends requests.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// A name for reports.
+    /// Name of the caller.
     pub name: CompactString,
-    /// The bearer token, or empty for none.
+    /// Bearer token, or empty for none.
     #[serde(default)]
     pub token: CompactString,
-    /// How much of the mix it sends, against the other callers.
+    /// Share of the requests that it sends, relative to the other callers.
     #[serde(default = "one")]
     pub share: f64,
 }
@@ -78,47 +78,47 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// A name for reports.
+    /// Name in reports.
     pub name: CompactString,
-    /// How much of the mix it is, against the other classes.
+    /// Share of the requests, relative to the other classes.
     #[serde(default = "one")]
     pub share: f64,
-    /// The share in the middle of a swing; none leaves it as it is.
+    /// Share at the peak of the swing; `None` keeps `share` throughout.
     #[serde(default)]
     pub share_at_peak: Option<f64>,
     /// Length of prompts, in tokens.
     #[serde(default = "some_tokens")]
     pub prompt_tokens: Length,
-    /// Length of answers, in tokens; the fleet doesn't know it beforehand.
+    /// Length of answers, in tokens, which only the stand-in engine learns from the request.
     #[serde(default = "some_tokens")]
     pub output_tokens: Length,
-    /// The most tokens that requests allow.
+    /// Limit on output tokens that requests set.
     #[serde(default = "many_tokens")]
     pub max_tokens: u32,
-    /// Over how many different beginnings prompts are spread, as system prompts are; 0 makes
-    /// each prompt's beginning its own.
+    /// Number of distinct prefixes that prompts share, as with system prompts; 0 gives each prompt
+    /// its own.
     #[serde(default)]
     pub prefixes: u32,
-    /// Text that stands in each prompt, such as one that crashes engines.
+    /// Text contained in each prompt, such as one that crashes engines.
     #[serde(default)]
     pub marker: CompactString,
-    /// The plain service that is called, instead of a prompt.
+    /// Plain service that is called; if empty, the requests are prompts.
     #[serde(default)]
     pub service: CompactString,
-    /// The path below the service.
+    /// Path below the service.
     #[serde(default)]
     pub path: CompactString,
-    /// How often a call whose outcome is unknown is sent again with the same key, each time
-    /// through another entry.
+    /// Maximum number of retries: of calls with an unknown outcome, with the same key, and of
+    /// prompts that can be sent again or resumed; each goes through another entry.
     #[serde(default = "some_retries")]
     pub retries: u32,
-    /// Whether running a call twice does no harm.
+    /// Whether a call may run more than once without harm.
     #[serde(default)]
     pub repeatable: bool,
     /// Whether requests are urgent.
     #[serde(default)]
     pub urgent: bool,
-    /// How long the caller waits for a first token.
+    /// Time in which the caller expects the first token.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "deadline_ms", default = "some_time")]
     pub deadline: Duration,
@@ -163,7 +163,7 @@
 }
 
 impl Mix {
-    /// Reads a mix and checks it.
+    /// Parses and validates a mix; without callers it gets one that sends no token.
     pub fn parse(text: &str) -> Result<Self> {
         let mut mix: Self = conf::check::parse(text)?;
         if mix.callers.is_empty() {
@@ -175,7 +175,7 @@
     }
 
     fn check(&self) -> Result<(), Error> {
-        /// Beyond it the program that sends and not the fleet would be measured.
+        /// At a higher rate the load generator would be measured instead of the fleet.
         const HIGHEST_RATE: f64 = 1_000_000.0;
         if !(self.rate > 0.0 && self.rate <= HIGHEST_RATE) {
             let detail = format!("a rate is above 0 and at most {HIGHEST_RATE} a second");
@@ -216,7 +216,7 @@
 }
 
 impl Class {
-    /// Whether it calls a plain service.
+    /// Whether its requests are calls of a plain service.
     pub(crate) fn is_call(&self) -> bool {
         !self.service.is_empty()
     }
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -1,52 +1,52 @@
-//! What became of a request, as its caller sees it.
+//! Outcome of a request as its caller sees it.
 
 use compact_str::CompactString;
 use std::time::Duration;
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The whole answer to this request came.
+    /// The complete answer to this request was received.
     Complete,
-    /// It was refused, and the caller told that it did not run.
+    /// The request was refused for this reason, with the guarantee that it did not run.
     Refused(CompactString),
-    /// The caller was told that the outcome is unknown.
+    /// The response gave this reason and no guarantee that the request did not run.
     Unknown(CompactString),
-    /// The answer broke off.
+    /// The answer broke off for this reason.
     Cut(CompactString),
-    /// An answer came to its end but is not the one to this request, or not all of it.
-    Torn,
+    /// An answer ended normally but belongs to another request, or lacks or repeats a part.
+    Corrupt,
     /// No entry could be reached.
     Unreachable,
-    /// No answer came in the time that any deadline allows.
+    /// No answer was received within the deadline and the grace time after it.
     Unanswered,
 }
 
-/// What was seen of one request.
+/// Measurements of one request.
 #[derive(Debug, Clone)]
 pub(crate) struct Sample {
     pub(crate) outcome: Outcome,
-    /// From the arrival to the first token, or to the answer of a call.
+    /// Time from the arrival to the first token, or to the answer of a call.
     pub(crate) first: Option<Duration>,
-    /// From the arrival to the end.
-    pub(crate) whole: Duration,
-    /// Between each two tokens.
+    /// Time from the arrival to the end.
+    pub(crate) duration: Duration,
+    /// Times between tokens.
     pub(crate) gaps: Vec<Duration>,
-    /// Tokens of the answer.
+    /// Tokens received.
     pub(crate) tokens: u32,
-    /// How often it was sent again.
+    /// Number of retries.
     pub(crate) retries: u32,
-    /// How often its stream was resumed.
+    /// Number of retries that resumed its stream.
     pub(crate) resumes: u32,
 }
 
 impl Sample {
-    /// A request of which nothing has been seen yet.
+    /// Makes the sample of a request without a response.
     pub(crate) fn new() -> Self {
         Self {
             outcome: Outcome::Unanswered,
             first: None,
-            whole: Duration::ZERO,
+            duration: Duration::ZERO,
             gaps: Vec::new(),
             tokens: 0,
             retries: 0,
--- a/crates/load/src/progress.rs
+++ b/crates/load/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress on a terminal while a mix is sent.
+//! Progress line on a terminal while a mix is sent.
 
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// Counts that the progress line shows.
+/// Counts shown in the progress line.
 #[derive(Default)]
 pub(crate) struct Counts {
     pub(crate) sent: AtomicU64,
@@ -14,7 +14,7 @@
     pub(crate) complete: AtomicU64,
 }
 
-/// Shows a line on standard error and renews it each second, if that is a terminal.
+/// Starts a task that rewrites a line on standard error each second, if that is a terminal.
 pub(crate) fn show(counts: Arc<Counts>) -> Option<JoinHandle<()>> {
     if !std::io::stderr().is_terminal() {
         return None;
@@ -26,7 +26,7 @@
             let open = sent.saturating_sub(ended);
             let complete = count(&counts.complete);
             let mut terminal = std::io::stderr();
-            // A terminal that can't be written to is no reason to stop measuring.
+            // A failed write to the terminal must not stop the measurement.
             let _ = write!(terminal, "\r{sent} sent, {open} open, {complete} complete   ");
             let _ = terminal.flush();
             tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What became of a mix, as a table and as JSON.
+//! Results of a mix, as a table and as JSON.
 
 use crate::client::Client;
 use crate::tally::{Quantiles, Reasons, Tally};
@@ -9,39 +9,39 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// What became of a mix.
+/// Results of a mix.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// From the first request to the last answer, in seconds.
+    /// Time from the start to the last answer, or to the end of the wait for it, in seconds.
     pub seconds: f64,
-    /// All classes together.
+    /// Sum of all classes.
     pub total: Row,
-    /// Each class.
+    /// Results of each class.
     pub classes: Vec<Row>,
-    /// Requests that were not sent because too many were open.
+    /// Requests not sent because too many were open.
     pub overflow: u64,
-    /// Calls that may not be repeated, if the services could be asked.
+    /// Verification of the non-repeatable calls, if addresses of services were given.
     pub calls: Option<Calls>,
-    /// What happened at the engines, if they could be asked.
+    /// Events at the engines, if addresses of engines were given.
     pub engines: Option<Engines>,
-    /// Prompts that went to stand-in engines directly.
+    /// Results of prompts sent directly to stand-in engines.
     pub direct: Option<Row>,
 }
 
-/// What became of the requests of one class.
+/// Results of one class.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Row {
-    /// The class.
+    /// Name of the class.
     pub class: CompactString,
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub complete: u64,
-    /// Of these, with the first token within the deadline.
+    /// Of these, requests with the first token within the deadline.
     pub in_deadline: u64,
-    /// Requests a second that were answered whole within the deadline.
+    /// Complete answers with the first token within the deadline, per second.
     pub good_requests_per_second: f64,
-    /// Output tokens a second of whole answers within the deadline.
+    /// Output tokens per second of these answers.
     pub goodput_tokens_per_second: f64,
     /// Refusals by reason.
     pub refused: Reasons,
@@ -49,15 +49,15 @@
     pub unknown: Reasons,
     /// Answers that broke off, by reason.
     pub cut: Reasons,
-    /// Answers that were not the whole answer to their own request.
+    /// Answers that ended normally but were not the complete answer to their own request.
     pub torn: u64,
     /// Requests that reached no entry.
     pub unreachable: u64,
     /// Requests that got no answer.
     pub unanswered: u64,
-    /// How often requests were sent again.
+    /// Number of retries.
     pub retries: u64,
-    /// How often streams were resumed.
+    /// Number of resumed streams.
     pub resumes: u64,
     /// Time to the first token.
     pub first: Quantiles,
@@ -67,19 +67,19 @@
     pub whole: Quantiles,
 }
 
-/// What happened at stand-in engines.
+/// Events at stand-in engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct Engines {
     /// Changes of role that took effect.
     pub role_changes: u64,
-    /// Orders that came while another was being carried out.
+    /// Orders that arrived while another was being carried out.
     pub conflicts: u64,
     /// Crashes.
     pub crashes: u64,
 }
 
 impl Engines {
-    /// Reads the engines' reports; an engine that is down counts for nothing.
+    /// Reads and sums the engines' reports.
     pub(crate) async fn read(client: &Client, engines: &[CompactString]) -> Result<Self> {
         let mut all = Self::default();
         for engine in engines {
@@ -93,7 +93,7 @@
         Ok(all)
     }
 
-    /// What happened since an earlier reading.
+    /// Events since an earlier reading.
     pub(crate) fn since(self, before: Self) -> Self {
         Self {
             role_changes: self.role_changes.saturating_sub(before.role_changes),
@@ -119,25 +119,25 @@
             refused: tally.refused.clone(),
             unknown: tally.unknown.clone(),
             cut: tally.cut.clone(),
-            torn: tally.torn,
+            torn: tally.corrupt,
             unreachable: tally.unreachable,
             unanswered: tally.unanswered,
             retries: tally.retries,
             resumes: tally.resumes,
             first: tally.first.quantiles(),
             gaps: tally.gaps.quantiles(),
-            whole: tally.whole.quantiles(),
+            whole: tally.duration.quantiles(),
         }
     }
 }
 
 impl Report {
-    /// Sums up a mix that took `elapsed`.
+    /// Summarizes a mix that took `elapsed`.
     pub(crate) fn new(mix: &Mix, tallies: &[Tally], elapsed: Duration) -> Self {
         let mut total = Tally::new();
         tallies.iter().for_each(|tally| total.merge(tally));
-        // Answers to requests that came in the mix's duration count as its goodput, also those
-        // that came while the last ones were waited for.
+        // Goodput is relative to the mix's duration; answers received after it, during the settle
+        // time, count too.
         let counted = elapsed.min(mix.duration);
         let rows = mix.classes.iter().zip(tallies);
         Self {
@@ -148,19 +148,19 @@
         }
     }
 
-    /// Adds the prompts that went to stand-in engines directly.
-    pub(crate) fn direct(&mut self, tally: &Tally) {
+    /// Adds the results of prompts sent directly to stand-in engines.
+    pub(crate) fn add_direct(&mut self, tally: &Tally) {
         self.direct = Some(Row::new("direct", tally, Duration::from_secs_f64(self.seconds)));
     }
 
-    /// Whether something happened that must never happen, whatever fails.
+    /// Whether a guarantee was violated that must hold under all faults.
     pub fn is_broken(&self) -> bool {
         let calls = self.calls.clone().unwrap_or_default();
         let conflicts = self.engines.unwrap_or_default().conflicts;
         self.total.torn > 0 || calls.doubled > 0 || calls.ran_though_refused > 0 || conflicts > 0
     }
 
-    /// The report as a table for people.
+    /// Formats the report as a human-readable table.
     pub fn table(&self) -> String {
         let mut text = String::new();
         // Writing to a string cannot fail.
--- a/crates/load/src/sender.rs
+++ b/crates/load/src/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one request and follows it as its caller would, through one entry and then another.
+//! Sends one request as a caller does, with retries through other entries.
 
 use crate::answer::{Answer, Ending, ErrorBody};
 use crate::client::{Client, Failure};
@@ -14,26 +14,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What all requests of a run share.
+/// State shared by all requests of a run.
 pub(crate) struct Sender {
     pub(crate) client: Client,
     pub(crate) mix: Mix,
     pub(crate) entries: Vec<CompactString>,
     pub(crate) direct: Vec<CompactString>,
-    /// Makes the run's idempotency keys differ from those of other runs.
+    /// Random prefix of idempotency keys, which distinguishes them from those of other runs.
     pub(crate) run: CompactString,
 }
 
-/// How long after its deadline a request may still be answered before it counts as unanswered.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after its deadline at which a request without an answer counts as unanswered.
+const ANSWER_GRACE: Duration = Duration::from_secs(60);
 
-/// How long a caller waits before it sends a request again.
+/// Delay before a retry.
 const RETRY_WAIT: Duration = Duration::from_millis(100);
 
-/// Length of one token of a prompt, in bytes, as the stand-in engine counts it.
+/// Length of one token of a prompt in bytes, as the stand-in engine counts it.
 const TOKEN_BYTES: usize = fake::TOKEN_BYTES;
 
-/// The body of RFC 9457 problem details, as far as we read it.
+/// The fields used of an RFC 9457 problem details body.
 #[derive(Deserialize)]
 struct ProblemBody {
     title: CompactString,
@@ -41,20 +41,21 @@
     run: CompactString,
 }
 
-/// What one try of a request came to.
-enum Try {
+/// Result of one attempt of a request.
+enum Attempt {
+    /// The request ended with this outcome.
     Ended(Outcome),
-    /// It may be sent again, and if it isn't, this is what became of it.
-    Again(Outcome),
+    /// The request may be retried; without a retry it ends with this outcome.
+    Retry(Outcome),
 }
 
 impl Sender {
-    /// Sends a request and follows it to its end.
+    /// Sends a request, with its retries, and measures it.
     pub(crate) async fn send(&self, arrival: Arrival) -> Sample {
         let begun = Instant::now();
         let class = &self.mix.classes[arrival.class];
         let mut sample = Sample::new();
-        let limit = class.deadline + PATIENCE;
+        let limit = class.deadline + ANSWER_GRACE;
         let following = async {
             if class.is_call() {
                 self.call(class, arrival, begun, &mut sample).await;
@@ -62,19 +63,19 @@
                 self.generate(class, arrival, begun, &mut sample).await;
             }
         };
-        // What was noted until then stays; the outcome is that of no answer.
+        // After a timeout the sample keeps its counts of retries and the outcome `Unanswered`.
         let _ = tokio::time::timeout(limit, following).await;
-        sample.whole = begun.elapsed();
+        sample.duration = begun.elapsed();
         sample
     }
 
-    /// Whether a request goes to a stand-in engine, past entries and agents.
+    /// Whether a request is sent directly to a stand-in engine, bypassing entries and agents.
     pub(crate) fn is_direct(&self, arrival: Arrival) -> bool {
         let call = self.mix.classes[arrival.class].is_call();
         !call && !self.direct.is_empty() && arrival.number % 2 == 1
     }
 
-    /// The idempotency key of a call, which stands in its body too.
+    /// Idempotency key of a call, which its body contains too.
     pub(crate) fn key(&self, arrival: Arrival) -> CompactString {
         format_compact!("{}-{}", self.run, arrival.number)
     }
@@ -82,22 +83,25 @@
     async fn generate(&self, class: &Class, arrival: Arrival, begun: Instant, sample: &mut Sample) {
         let prompt = prompt(class, arrival);
         let sampling = Bytes::from(json!({"fake_tokens": arrival.output_tokens}).to_string());
-        let whole = fake::answer(&prompt, &sampling, class.max_tokens);
+        let expected = fake::answer(&prompt, &sampling, class.max_tokens);
         let mut answer = Answer::default();
-        let mut turn = 0;
+        let mut attempt = 0;
         loop {
-            let tried = self.try_generate(class, arrival, turn, &prompt, &mut answer).await;
-            let outcome = match tried {
-                Try::Again(_) if turn < class.retries => None,
-                Try::Again(outcome) => Some(outcome),
-                Try::Ended(Outcome::Complete) if answer.text != whole => Some(Outcome::Torn),
-                Try::Ended(outcome) => Some(outcome),
+            let result =
+                self.attempt_generation(class, arrival, attempt, &prompt, &mut answer).await;
+            let outcome = match result {
+                Attempt::Retry(_) if attempt < class.retries => None,
+                Attempt::Retry(outcome) => Some(outcome),
+                Attempt::Ended(Outcome::Complete) if answer.text != expected => {
+                    Some(Outcome::Corrupt)
+                }
+                Attempt::Ended(outcome) => Some(outcome),
             };
             if let Some(outcome) = outcome {
                 sample.outcome = outcome;
                 break;
             }
-            turn += 1;
+            attempt += 1;
             sample.retries += 1;
             sample.resumes += u32::from(!answer.last_id.is_empty());
             tokio::time::sleep(RETRY_WAIT).await;
@@ -107,50 +111,50 @@
         sample.tokens = u32::try_from(answer.times.len()).unwrap_or(u32::MAX);
     }
 
-    async fn try_generate(
+    async fn attempt_generation(
         &self,
         class: &Class,
         arrival: Arrival,
-        turn: u32,
+        attempt: u32,
         prompt: &str,
         answer: &mut Answer,
-    ) -> Try {
-        let request = self.prompt_request(class, arrival, turn, prompt, &answer.last_id);
+    ) -> Attempt {
+        let request = self.prompt_request(class, arrival, attempt, prompt, &answer.last_id);
         let response = match self.client.send(request).await {
             Ok(response) => response,
-            Err(Failure::Unreachable) => return Try::Again(Outcome::Unreachable),
-            Err(Failure::Broken) => return Try::Again(cut("no-response")),
+            Err(Failure::Unreachable) => return Attempt::Retry(Outcome::Unreachable),
+            Err(Failure::Broken) => return Attempt::Retry(cut("no-response")),
         };
         if response.status() != StatusCode::OK {
-            return self.refused(response, answer).await;
+            return self.refused_outcome(response, answer).await;
         }
         match answer.read(response.into_body()).await {
-            Ending::Done => Try::Ended(Outcome::Complete),
+            Ending::Done => Attempt::Ended(Outcome::Complete),
             Ending::Error { reason, run } if run == NOT_RUN && answer.text.is_empty() => {
-                Try::Ended(Outcome::Refused(reason))
+                Attempt::Ended(Outcome::Refused(reason))
             }
-            Ending::Error { reason, .. } => Try::Ended(Outcome::Cut(reason)),
-            // Without an id the stream can't be resumed; a prompt may be sent again from its
-            // beginning as long as nothing of an answer has been seen.
+            Ending::Error { reason, .. } => Attempt::Ended(Outcome::Cut(reason)),
+            // Without an event id the stream cannot be resumed; the prompt may be sent again from
+            // its beginning only if no part of an answer was received.
             Ending::Broken if answer.last_id.is_empty() && !answer.text.is_empty() => {
-                Try::Ended(cut("broken-stream"))
+                Attempt::Ended(cut("broken-stream"))
             }
-            Ending::Broken => Try::Again(cut("broken-stream")),
+            Ending::Broken => Attempt::Retry(cut("broken-stream")),
         }
     }
 
-    async fn refused(&self, response: Response<Incoming>, answer: &Answer) -> Try {
+    async fn refused_outcome(&self, response: Response<Incoming>, answer: &Answer) -> Attempt {
         let status = response.status();
         let body = response.into_body().collect().await;
-        let Ok(body) = body else { return Try::Again(cut("no-response")) };
+        let Ok(body) = body else { return Attempt::Retry(cut("no-response")) };
         let (reason, run) = match serde_json::from_slice::<ErrorBody>(&body.to_bytes()) {
             Ok(body) => (body.error.code, body.error.run),
             Err(_) => (format_compact!("status-{}", status.as_u16()), CompactString::default()),
         };
         match (answer.text.is_empty(), run == NOT_RUN) {
-            (false, _) => Try::Ended(Outcome::Cut(reason)),
-            (true, true) => Try::Ended(Outcome::Refused(reason)),
-            (true, false) => Try::Ended(Outcome::Unknown(reason)),
+            (false, _) => Attempt::Ended(Outcome::Cut(reason)),
+            (true, true) => Attempt::Ended(Outcome::Refused(reason)),
+            (true, false) => Attempt::Ended(Outcome::Unknown(reason)),
         }
     }
 
@@ -158,7 +162,7 @@
         &self,
         class: &Class,
         arrival: Arrival,
-        turn: u32,
+        attempt: u32,
         prompt: &str,
         last_id: &str,
     ) -> Request<Full<Bytes>> {
@@ -169,9 +173,9 @@
         let address = if self.is_direct(arrival) {
             body["request_id"] = json!(self.key(arrival));
             body["priority"] = json!(1);
-            pick(&self.direct, arrival.number / 2 + u64::from(turn))
+            pick(&self.direct, arrival.number / 2 + u64::from(attempt))
         } else {
-            pick(&self.entries, arrival.number + u64::from(turn))
+            pick(&self.entries, arrival.number + u64::from(attempt))
         };
         let uri = format!("http://{address}/v1/completions");
         let mut request = self.head("POST", &uri, class, arrival);
@@ -183,33 +187,39 @@
 
     async fn call(&self, class: &Class, arrival: Arrival, begun: Instant, sample: &mut Sample) {
         let key = self.key(arrival);
-        let mut turn = 0;
+        let mut attempt = 0;
         loop {
-            let tried = self.try_call(class, arrival, turn, &key).await;
-            match tried {
-                Try::Again(_) if turn < class.retries => {}
-                Try::Again(outcome) | Try::Ended(outcome) => {
+            let result = self.attempt_call(class, arrival, attempt, &key).await;
+            match result {
+                Attempt::Retry(_) if attempt < class.retries => {}
+                Attempt::Retry(outcome) | Attempt::Ended(outcome) => {
                     sample.outcome = outcome;
                     break;
                 }
             }
-            turn += 1;
+            attempt += 1;
             sample.retries += 1;
             tokio::time::sleep(RETRY_WAIT).await;
         }
         sample.first = Some(begun.elapsed());
     }
 
-    async fn try_call(&self, class: &Class, arrival: Arrival, turn: u32, key: &str) -> Try {
-        let entry = pick(&self.entries, arrival.number + u64::from(turn));
+    async fn attempt_call(
+        &self,
+        class: &Class,
+        arrival: Arrival,
+        attempt: u32,
+        key: &str,
+    ) -> Attempt {
+        let entry = pick(&self.entries, arrival.number + u64::from(attempt));
         let path = class.path.trim_start_matches('/');
         let uri = format!("http://{entry}/services/{}/{path}", class.service);
         let request = self.head("POST", &uri, class, arrival).header("idempotency-key", key);
         let request = finish(request, &json!({"call": key}));
-        let unknown = |reason| Try::Again(Outcome::Unknown(CompactString::const_new(reason)));
+        let unknown = |reason| Attempt::Retry(Outcome::Unknown(CompactString::const_new(reason)));
         let response = match self.client.send(request).await {
             Ok(response) => response,
-            Err(Failure::Unreachable) => return Try::Again(Outcome::Unreachable),
+            Err(Failure::Unreachable) => return Attempt::Retry(Outcome::Unreachable),
             Err(Failure::Broken) => return unknown("no-response"),
         };
         let status = response.status();
@@ -219,10 +229,11 @@
         };
         let body = body.to_bytes();
         if kind.as_deref() == Some(b"application/problem+json") {
-            return problem(status, &body);
+            return problem_outcome(status, &body);
         }
-        let own = serde_json::from_slice::<Value>(&body).is_ok_and(|answer| is_own(&answer, key));
-        Try::Ended(if own { Outcome::Complete } else { Outcome::Torn })
+        let own =
+            serde_json::from_slice::<Value>(&body).is_ok_and(|answer| is_answer_to(&answer, key));
+        Attempt::Ended(if own { Outcome::Complete } else { Outcome::Corrupt })
     }
 
     fn head(
@@ -246,26 +257,26 @@
     }
 }
 
-/// What a caller is told of a request that has had no effect and won't have any.
+/// Value of `run` in responses which guarantee that the request did not and will not run.
 const NOT_RUN: &str = "not-run";
 
-/// What a refused call came to.
-fn problem(status: StatusCode, body: &[u8]) -> Try {
+/// Outcome of a call that was answered with problem details.
+fn problem_outcome(status: StatusCode, body: &[u8]) -> Attempt {
     let Ok(problem) = serde_json::from_slice::<ProblemBody>(body) else {
         let reason = format_compact!("status-{}", status.as_u16());
-        return Try::Again(Outcome::Unknown(reason));
+        return Attempt::Retry(Outcome::Unknown(reason));
     };
     if status == StatusCode::CONFLICT {
-        return Try::Again(Outcome::Unknown(problem.title));
+        return Attempt::Retry(Outcome::Unknown(problem.title));
     }
     if problem.run == NOT_RUN {
-        return Try::Ended(Outcome::Refused(problem.title));
+        return Attempt::Ended(Outcome::Refused(problem.title));
     }
-    Try::Again(Outcome::Unknown(problem.title))
+    Attempt::Retry(Outcome::Unknown(problem.title))
 }
 
-/// Whether a stand-in service's answer is the one to the call with this key.
-fn is_own(answer: &Value, key: &str) -> bool {
+/// Whether a stand-in service's answer belongs to the call with this key.
+fn is_answer_to(answer: &Value, key: &str) -> bool {
     let body = answer["body"].as_str().unwrap_or_default();
     let call = serde_json::from_str::<Value>(body).unwrap_or_default();
     call["call"] == key
@@ -277,23 +288,24 @@
 
 fn finish(request: http::request::Builder, body: &Value) -> Request<Full<Bytes>> {
     let body = Full::new(Bytes::from(body.to_string()));
-    // The addresses were parsed before the run, and all headers are visible text.
+    // The addresses were parsed before the run, and all headers are printable text.
     request.body(body).expect("the parts of the request were checked")
 }
 
-/// Picks an address; the lists that are asked from are never empty.
-fn pick(addresses: &[CompactString], turn: u64) -> &CompactString {
+/// Picks an address round-robin; the list must not be empty.
+fn pick(addresses: &[CompactString], number: u64) -> &CompactString {
     let count = u64::try_from(addresses.len()).unwrap_or(u64::MAX).max(1);
-    let index = usize::try_from(turn % count).unwrap_or_default();
+    let index = usize::try_from(number % count).unwrap_or_default();
     &addresses[index]
 }
 
-/// The prompt of a request: the beginning it shares with others, its own number, and a filling.
+/// Builds the prompt of a request: the prefix that it shares with others, its number, the marker
+/// and filler up to its length.
 fn prompt(class: &Class, arrival: Arrival) -> String {
     let length = usize::try_from(arrival.prompt_tokens).unwrap_or(usize::MAX) * TOKEN_BYTES;
     let mut text = String::with_capacity(length);
     if class.prefixes > 0 {
-        /// The stand-in engine takes this many bytes as a prompt's beginning.
+        /// Length of a prompt's prefix in the stand-in engine's prefix cache.
         const PREFIX_BYTES: usize = 64;
         let head = format!("{} {} ", class.name, arrival.prefix);
         text.push_str(&head.repeat(PREFIX_BYTES / head.len() + 1)[..PREFIX_BYTES]);
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what became of requests.
+//! Counts of outcomes and histograms of times.
 
 use crate::outcome::{Outcome, Sample};
 use compact_str::CompactString;
@@ -10,7 +10,7 @@
 /// Counts by reason.
 pub(crate) type Reasons = BTreeMap<CompactString, u64>;
 
-/// What became of the requests of one class.
+/// Counts and times of the requests of one class.
 pub(crate) struct Tally {
     pub(crate) sent: u64,
     pub(crate) complete: u64,
@@ -19,37 +19,37 @@
     pub(crate) refused: Reasons,
     pub(crate) unknown: Reasons,
     pub(crate) cut: Reasons,
-    pub(crate) torn: u64,
+    pub(crate) corrupt: u64,
     pub(crate) unreachable: u64,
     pub(crate) unanswered: u64,
     pub(crate) retries: u64,
     pub(crate) resumes: u64,
     pub(crate) first: Times,
     pub(crate) gaps: Times,
-    pub(crate) whole: Times,
+    pub(crate) duration: Times,
 }
 
-/// Times as a histogram.
+/// Histogram of times.
 pub(crate) struct Times(Histogram<u64>);
 
 /// Quantiles of times, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Quantiles {
-    /// How many times were measured.
+    /// Number of measurements.
     pub count: u64,
-    /// Half are shorter.
+    /// Median.
     pub p50_ms: f64,
-    /// 95 in 100 are shorter.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100 are shorter.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
 impl Times {
     pub(crate) fn new() -> Self {
-        /// One microsecond to an hour, to three digits.
+        /// The histogram covers 1 µs to 1 h with three significant digits.
         const LONGEST_US: u64 = 3_600_000_000;
         let histogram = Histogram::new_with_bounds(1, LONGEST_US, 3);
         Self(histogram.expect("the bounds are valid"))
@@ -60,7 +60,7 @@
     }
 
     pub(crate) fn merge(&mut self, other: &Times) {
-        // Both have the same bounds, without which adding fails.
+        // Adding fails only if the bounds differ, and all histograms have the same.
         self.0.add(&other.0).expect("the bounds are the same");
     }
 
@@ -87,18 +87,18 @@
             refused: Reasons::new(),
             unknown: Reasons::new(),
             cut: Reasons::new(),
-            torn: 0,
+            corrupt: 0,
             unreachable: 0,
             unanswered: 0,
             retries: 0,
             resumes: 0,
             first: Times::new(),
             gaps: Times::new(),
-            whole: Times::new(),
+            duration: Times::new(),
         }
     }
 
-    /// Counts a request whose caller waits for its first token until `deadline`.
+    /// Adds a request whose first token is due within `deadline`.
     pub(crate) fn add(&mut self, sample: &Sample, deadline: Duration) {
         self.sent += 1;
         self.retries += u64::from(sample.retries);
@@ -111,7 +111,7 @@
             Outcome::Refused(reason) => count(&mut self.refused, reason),
             Outcome::Unknown(reason) => count(&mut self.unknown, reason),
             Outcome::Cut(reason) => count(&mut self.cut, reason),
-            Outcome::Torn => self.torn += 1,
+            Outcome::Corrupt => self.corrupt += 1,
             Outcome::Unreachable => self.unreachable += 1,
             Outcome::Unanswered => self.unanswered += 1,
         }
@@ -119,7 +119,7 @@
 
     fn add_complete(&mut self, sample: &Sample, deadline: Duration) {
         self.complete += 1;
-        self.whole.add(sample.whole);
+        self.duration.add(sample.duration);
         sample.gaps.iter().for_each(|gap| self.gaps.add(*gap));
         let Some(first) = sample.first else { return };
         self.first.add(first);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Adds another class's counts.
+    /// Adds the counts and times of another class.
     pub(crate) fn merge(&mut self, other: &Tally) {
         self.sent += other.sent;
         self.complete += other.complete;
@@ -144,13 +144,13 @@
                 *own.entry(reason.clone()).or_default() += count;
             }
         }
-        self.torn += other.torn;
+        self.corrupt += other.corrupt;
         self.unreachable += other.unreachable;
         self.unanswered += other.unanswered;
         self.retries += other.retries;
         self.resumes += other.resumes;
         self.first.merge(&other.first);
         self.gaps.merge(&other.gaps);
-        self.whole.merge(&other.whole);
+        self.duration.merge(&other.duration);
     }
 }
--- a/crates/load/src/verify.rs
+++ b/crates/load/src/verify.rs
@@ -1,4 +1,4 @@
-//! Compares what callers were told of their calls with what the stand-in services ran.
+//! Verifies the outcomes that callers received against the runs that stand-in services counted.
 
 use crate::client::Client;
 use crate::outcome::Outcome;
@@ -8,19 +8,19 @@
 use serde_json::Value;
 use std::collections::HashMap;
 
-/// What callers were told of calls that may not be repeated, by idempotency key.
-pub(crate) type Told = HashMap<CompactString, Outcome>;
+/// Outcomes of non-repeatable calls as their callers saw them, by idempotency key.
+pub(crate) type Outcomes = HashMap<CompactString, Outcome>;
 
-/// How often calls ran against what their callers were told.
+/// Numbers of calls by the runs counted and the outcomes that callers saw.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Calls {
-    /// Calls that may not be repeated.
+    /// Non-repeatable calls.
     pub sent: u64,
     /// Calls that ran more than once.
     pub doubled: u64,
-    /// Calls that ran although their caller was told that they did not.
+    /// Calls that ran although the response guaranteed that they did not.
     pub ran_though_refused: u64,
-    /// Calls that were answered but that no service knows of.
+    /// Calls that were answered although no service ran them.
     pub answered_not_run: u64,
     /// Calls of unknown outcome that ran.
     pub unknown_ran: u64,
@@ -28,11 +28,11 @@
     pub unknown_not_run: u64,
 }
 
-/// Reads the services' reports and compares.
+/// Reads the services' reports and compares them with the callers' outcomes.
 pub(crate) async fn calls(
     client: &Client,
     services: &[CompactString],
-    told: &Told,
+    outcomes: &Outcomes,
 ) -> Result<Calls> {
     let mut runs = HashMap::new();
     for service in services {
@@ -48,19 +48,19 @@
             }
         }
     }
-    Ok(compare(told, &runs))
+    Ok(compare(outcomes, &runs))
 }
 
-/// The key in `METHOD path body`.
+/// Extracts the idempotency key from `METHOD path body`.
 fn key_of(call: &str) -> Option<CompactString> {
     let body = call.splitn(3, ' ').nth(2)?;
     let body = serde_json::from_str::<Value>(body).ok()?;
     body["call"].as_str().map(CompactString::from)
 }
 
-fn compare(told: &Told, runs: &HashMap<CompactString, u64>) -> Calls {
+fn compare(outcomes: &Outcomes, runs: &HashMap<CompactString, u64>) -> Calls {
     let mut calls = Calls::default();
-    for (key, outcome) in told {
+    for (key, outcome) in outcomes {
         let ran = runs.get(key).copied().unwrap_or_default();
         calls.sent += 1;
         calls.doubled += u64::from(ran > 1);
@@ -69,7 +69,7 @@
             Outcome::Refused(_) | Outcome::Unreachable => {
                 calls.ran_though_refused += u64::from(ran > 0);
             }
-            Outcome::Unknown(_) | Outcome::Cut(_) | Outcome::Torn | Outcome::Unanswered => {
+            Outcome::Unknown(_) | Outcome::Cut(_) | Outcome::Corrupt | Outcome::Unanswered => {
                 calls.unknown_ran += u64::from(ran > 0);
                 calls.unknown_not_run += u64::from(ran == 0);
             }
--- a/crates/load/tests/judge.rs
+++ b/crates/load/tests/judge.rs
@@ -1,4 +1,4 @@
-//! What the report says of fleets that answer wrongly.
+//! The report detects fleets that answer incorrectly.
 
 use async_trait::async_trait;
 use fake::MemoryService;
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use target::{Call, Service};
 
-/// An entry that answers prompts and calls as it is told to.
+/// An entry that drops tokens, repeats calls or refuses them as configured.
 #[derive(Clone)]
 struct Entry {
     lost_tokens: u32,
@@ -83,36 +83,38 @@
 }
 
 #[tokio::test]
-async fn whole_answers_and_single_runs_are_in_order() {
+async fn complete_answers_and_single_runs_are_accepted() {
     let report = judge(0, 1, false).await;
     assert_eq!((report.total.sent, report.total.complete), (20, 20));
     assert!(!report.is_broken(), "{}", report.table());
 }
 
-// A fleet resumes a stream one token too late. Callers read a sentence that lacks a word, and no
-// status code tells them.
+// A fleet resumes a stream one token too late. The caller receives an answer that lacks a token,
+// with a normal status and end, so only a comparison of the text detects it.
 #[tokio::test]
-async fn an_answer_that_lacks_a_token_is_seen() {
+async fn an_answer_that_lacks_a_token_is_detected() {
     let report = judge(1, 1, false).await;
     let prompts = report.classes[0].sent;
     assert!(prompts > 0);
     assert_eq!((report.total.torn, report.is_broken()), (prompts, true));
 }
 
-// A fleet sends a transfer again by itself: money moves twice, and the caller sees one answer.
+// A fleet retries a non-repeatable call by itself: it runs twice, and the caller receives one
+// answer.
 #[tokio::test]
-async fn a_call_that_ran_twice_is_seen() {
+async fn a_call_that_ran_twice_is_detected() {
     let report = judge(0, 2, false).await;
-    let calls = report.calls.clone().expect("services were asked");
+    let calls = report.calls.clone().expect("services were given");
     assert!(calls.sent > 0);
     assert_eq!((calls.doubled, report.is_broken()), (calls.sent, true));
 }
 
-// A caller is told that its transfer did not run, and makes it anew, while it had run.
+// A response guarantees that a call did not run although it did. The caller would send it again
+// with a new key, and it would run twice.
 #[tokio::test]
-async fn a_call_that_ran_though_its_caller_was_told_otherwise_is_seen() {
+async fn a_call_that_ran_although_refused_as_not_run_is_detected() {
     let report = judge(0, 1, true).await;
-    let calls = report.calls.clone().expect("services were asked");
+    let calls = report.calls.clone().expect("services were given");
     assert!(calls.sent > 0);
     assert_eq!((calls.ran_though_refused, report.is_broken()), (calls.sent, true));
 }
@@ -126,14 +128,14 @@
     let mix = Mix::parse(text).expect("the mix is right");
     let all: Vec<_> = Arrivals::new(&mix).collect();
     assert_eq!(all, Arrivals::new(&mix).collect::<Vec<_>>());
-    let mut told = String::new();
+    let mut counts = String::new();
     for tenth in 0..10u64 {
         let within = |at: std::time::Duration| at.as_secs() / 10 == tenth;
         let in_tenth: Vec<_> = all.iter().filter(|arrival| within(arrival.at)).collect();
         let second = in_tenth.iter().filter(|arrival| arrival.class == 1).count();
-        told += &format!("{tenth}: {} of class b among {}\n", second, in_tenth.len());
+        counts += &format!("{tenth}: {} of class b among {}\n", second, in_tenth.len());
     }
-    insta::assert_snapshot!(told);
+    insta::assert_snapshot!(counts);
     let wrong = Mix::parse("{rate: 0, classes: [{name: a}]}").expect_err("no rate");
     assert_eq!(wrong.to_string(), "rate: a rate is above 0 and at most 1000000 a second");
 }
