--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -1,21 +1,21 @@
-//! A line through measured points, by least squares.
+//! Linear least-squares fit.
 
-/// One measurement: a size and what was measured at it.
+/// One measurement: a size and the value measured at it.
 pub(crate) type Point = (f64, f64);
 
-/// A line through measured points.
+/// A line fitted to measurements.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Line {
-    /// What one more unit of size costs.
+    /// Cost per unit of size.
     pub(crate) slope: f64,
-    /// What size nought costs.
+    /// Cost at size 0.
     pub(crate) base: f64,
-    /// The largest deviation of a point from the line, as a share of the largest value measured.
+    /// Largest deviation of a point from the line, as a share of the largest measured value.
     pub(crate) residual: f64,
 }
 
 impl Line {
-    /// Fits a line; `points` must hold at least two different sizes.
+    /// Fits a line by least squares; `points` must contain at least two different sizes.
     pub(crate) fn through(points: &[Point]) -> Self {
         let count = points.iter().map(|_| 1.0).sum::<f64>();
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
--- a/crates/slopes/src/fleet.rs
+++ b/crates/slopes/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A small fleet whose roles run on threads of their own.
+//! A small fleet in which each role runs on a thread of its own.
 
-use crate::relay::{Counting, Relay};
+use crate::relay::{CountingDialler, Relay};
 use crate::thread::Thread;
 use agent::Backend;
 use compact_str::{CompactString, ToCompactString, format_compact};
@@ -19,19 +19,19 @@
 use tokio_util::sync::CancellationToken;
 use wire::TcpListener;
 
-/// The model that all engines serve.
+/// Model that all engines serve.
 pub(crate) const MODEL: &str = "lapis-small";
 
-/// The secret between the fleet's processes.
+/// Key with which the fleet's processes authenticate to each other.
 const PEER_KEY: &str = "slopes";
 
-/// The fleet: some entries, some agents with an engine each, and the platform.
+/// A running fleet: entries, agents with an engine each, and the platform.
 pub(crate) struct Fleet {
-    /// The thread of all entries.
+    /// Thread that runs all entries.
     pub(crate) entry: Thread,
-    /// The thread of all agents.
+    /// Thread that runs all agents.
     pub(crate) agents: Thread,
-    /// Where the first entry takes callers.
+    /// Address at which the first entry serves callers.
     pub(crate) callers: CompactString,
     /// Counts the bytes between entries and agents.
     pub(crate) peers: Arc<AtomicU64>,
@@ -43,7 +43,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet.
+    /// Starts a fleet and waits until it is connected.
     pub(crate) async fn start(entries: u32, agents: u32) -> Result<Self> {
         let stand_ins = Thread::start()?;
         let log = MemoryLog::new();
@@ -73,7 +73,7 @@
         Ok(fleet)
     }
 
-    /// Publishes a resource.
+    /// Publishes a resource in the configuration stream.
     pub(crate) async fn publish(&self, kind: Kind, name: &str, spec: Value) -> Result<()> {
         let appender = Appender::new(Arc::new(self.log.clone()), "operator".into());
         let spec = Some(spec.to_string());
@@ -94,7 +94,7 @@
         let engine = Arc::new(MemoryEngine::new(model, &[MODEL]));
         let engine = serve(engines, fake::http::engine_router(engine)).await?;
         let log: CompactString = log.into();
-        let dialler = Arc::new(Counting { bytes: self.planner.clone() });
+        let dialler = Arc::new(CountingDialler { bytes: self.planner.clone() });
         let agent = self.agents.run(run_agent(name.clone(), engine, log, dialler)).await??;
         let spec = json!({
             "models": [MODEL], "domain": "domain-1", "agent": agent, "slots": 256,
@@ -104,19 +104,19 @@
 
     async fn start_entry(&self, number: u32) -> Result<CompactString> {
         let platform = platform(&self.log_relay.address);
-        let dialler = Arc::new(Counting { bytes: self.peers.clone() });
+        let dialler = Arc::new(CountingDialler { bytes: self.peers.clone() });
         self.entry.run(run_entry(number, platform, dialler)).await?
     }
 }
 
-/// How long a fresh fleet is left to connect.
+/// Time for a new fleet to connect.
 const SETTLE: Duration = Duration::from_millis(1_500);
 
 async fn run_agent(
     name: CompactString,
     engine: CompactString,
     log: CompactString,
-    dialler: Arc<Counting>,
+    dialler: Arc<CountingDialler>,
 ) -> Result<CompactString> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.address()?;
@@ -146,7 +146,7 @@
 async fn run_entry(
     number: u32,
     platform: settings::Platform,
-    dialler: Arc<Counting>,
+    dialler: Arc<CountingDialler>,
 ) -> Result<CompactString> {
     let log = Arc::new(HttpClient::new(platform.log.clone(), platform.timeout));
     let settings = settings::Entry {
--- a/crates/slopes/src/frames.rs
+++ b/crates/slopes/src/frames.rs
@@ -1,22 +1,22 @@
-//! Sizes of the frames that carry heartbeats, without a run.
+//! Sizes of heartbeat frames, computed from encoded messages.
 
 use crate::table::Row;
 use prost::Message;
 use wire::{Body, EntryStatus, Frame, Load, Ping, Pong, Usage};
 
-/// Entries that an agent has heard from; 18 at the plan's size.
-const SIGHTINGS: [u32; 4] = [0, 18, 36, 72];
+/// Numbers of entries whose status an agent has received; 18 at the planned size.
+const ENTRIES: [u32; 4] = [0, 18, 36, 72];
 
-/// Busy callers that an entry tells of itself.
+/// Numbers of busy callers whose usage an entry reports.
 const USAGES: [u32; 4] = [0, 8, 16, 32];
 
-/// The length prefix of each frame.
+/// Length of the prefix that gives a frame's length.
 const PREFIX_BYTES: usize = 4;
 
 /// The rows of this module.
 pub(crate) fn rows() -> Vec<Row> {
     let ping = USAGES.map(|size| (f64::from(size), length(Body::Ping(ping(size)))));
-    let pong = SIGHTINGS.map(|size| (f64::from(size), length(Body::Pong(pong(size)))));
+    let pong = ENTRIES.map(|size| (f64::from(size), length(Body::Pong(pong(size)))));
     vec![
         Row { role: "entry", cost: "ping, bytes", per: "busy caller", points: ping.to_vec() },
         Row { role: "agent", cost: "pong, bytes", per: "sighting", points: pong.to_vec() },
@@ -54,7 +54,7 @@
     Pong { nonce: 1 << 20, load: Some(load), entries: sightings }
 }
 
-/// Busy callers that an entry tells of when it has many agents to tell.
+/// Busy callers that an entry reports if it reports to many agents.
 const TYPICAL_USAGES: u32 = 4;
 
 fn sighting(usages: u32) -> EntryStatus {
--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -1,9 +1,9 @@
-//! Measures what one more target, caller, request, token or change costs each role.
+//! Measures the marginal cost of a target, caller, request, token or change to each role.
 //!
-//! Each row takes at least four sizes, fits a line through them, and prints its slope, its value at
-//! size nought and the largest deviation of a measurement from the line. `docs/CAPACITY.md` works
-//! the plan's size out from these slopes. Roles run on threads of their own over loopback, so that
-//! the system counts each one's processor time.
+//! Each row measures at least four sizes, fits a line, and prints its slope, its value at size 0 and
+//! the largest deviation of a measurement from the line. `docs/CAPACITY.md` extrapolates these
+//! slopes to the planned size. Each role runs on a thread of its own and communicates over loopback,
+//! so that the operating system accounts its CPU time separately.
 
 mod fit;
 mod fleet;
@@ -19,7 +19,7 @@
 use stats_alloc::{INSTRUMENTED_SYSTEM, StatsAlloc};
 use std::alloc::System;
 
-/// Counts bytes in use, so that memory is measured exactly and not by pages.
+/// Counts allocated bytes, so that memory is measured exactly instead of in pages.
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
--- a/crates/slopes/src/memory.rs
+++ b/crates/slopes/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory and time of the folded configuration.
+//! Memory used by the folded configuration, and the time to fold changes.
 
 use crate::ALLOCATOR;
 use crate::fit::Point;
@@ -9,13 +9,13 @@
 use stats_alloc::Region;
 use std::time::Instant;
 
-/// Sizes up to twice the plan's 700 targets.
+/// Numbers of targets, up to twice the planned 700.
 const TARGETS: [u32; 4] = [175, 350, 700, 1_400];
 
-/// Sizes up to twice the plan's 4,500 callers.
+/// Numbers of callers, up to twice the planned 4,500.
 const CALLERS: [u32; 4] = [1_125, 2_250, 4_500, 9_000];
 
-/// Changes, up to the plan's day of 1,500.
+/// Numbers of changes, up to the planned 1,500 a day.
 const CHANGES: [u32; 4] = [375, 750, 1_125, 1_500];
 
 /// The rows of this module.
@@ -37,7 +37,7 @@
     ]
 }
 
-/// Bytes in use for a configuration of `size` resources of one kind.
+/// Bytes allocated by a configuration of `size` resources of one kind.
 fn folded_bytes(kind: &str, size: u32) -> f64 {
     let records: Vec<Record> = (0..size).map(|number| created(kind, number)).collect();
     let mut config = with_models();
@@ -49,8 +49,8 @@
     f64::from(u32::try_from(bytes).unwrap_or(u32::MAX))
 }
 
-/// Bytes of a checkpoint of `size` resources of one kind, with the changes that made them as far
-/// as the audit trail keeps them.
+/// Bytes of a checkpoint of `size` resources of one kind, including the changes that created them
+/// as far as the audit trail retains them.
 fn encoded(kind: &'static str, sizes: [u32; 4]) -> Vec<Point> {
     let bytes = |size: u32| {
         let records: Vec<Record> = (0..size).map(|number| created(kind, number)).collect();
@@ -61,7 +61,7 @@
     sizes.map(|size| (f64::from(size), bytes(size))).to_vec()
 }
 
-/// Time to apply `size` changes to a configuration of the plan's size.
+/// Time in nanoseconds to apply `size` changes to a configuration of the planned size.
 fn change_nanos(size: u32) -> f64 {
     let targets = (0..700).map(|number| created("Target", number));
     let callers = (0..4_500).map(|number| created("Caller", number));
@@ -74,7 +74,7 @@
     begun.elapsed().as_secs_f64() * 1e9
 }
 
-/// A configuration with the models that targets refer to.
+/// Makes a configuration with the models that targets refer to.
 fn with_models() -> Config {
     let mut config = Config::default();
     let models: Vec<Record> = MODELS.map(|name| change("Model", name, &json!({}))).to_vec();
@@ -82,8 +82,8 @@
     config
 }
 
-/// Applies changes, of which none may be refused: a refused one costs less and would be measured
-/// for an accepted one.
+/// Applies changes and asserts that none is refused, since a refused change costs less than an
+/// accepted one and would distort the measurement.
 fn fold(config: &mut Config, records: &[Record]) {
     for record in records {
         let offset = config.end();
@@ -103,7 +103,7 @@
     Record::new(1, "operator", 0, Body::Change(change))
 }
 
-/// The plan's four models.
+/// The four planned models.
 const MODELS: [&str; 4] = ["model-1", "model-2", "model-3", "model-4"];
 
 fn spec(kind: &str, number: u32) -> Value {
--- a/crates/slopes/src/plan.rs
+++ b/crates/slopes/src/plan.rs
@@ -1,13 +1,13 @@
-//! What the slopes come to at the plan's size, against the plan's limits for control.
+//! Extrapolates the slopes to the planned size and compares control work with its limits.
 //!
-//! A process's control work is all that it does without a request: heartbeats, the log and the
-//! configuration. The work of requests is shown beside it without a limit.
+//! Control work is all work of a process that does not serve requests: heartbeats, the log and the
+//! configuration. The work of requests is printed too, without a limit.
 
 use crate::fit::Line;
 use crate::table::Row;
 use eyre::{Result, eyre};
 
-/// The plan, from the developers' page.
+/// The planned size, from the developers' page.
 const ENTRIES: f64 = 390.0;
 const TARGETS: f64 = 700.0;
 const CALLERS: f64 = 4_500.0;
@@ -16,7 +16,7 @@
 const CHANGES_A_DAY: f64 = 1_500.0;
 const SECONDS_A_DAY: f64 = 86_400.0;
 
-/// The plan's limits for control.
+/// Limits for control work, from the plan.
 const CORE_SHARE: f64 = 0.044;
 const MEMORY_BYTES: f64 = 256e6;
 const LINK_BYTES_A_SECOND: f64 = 7_000.0;
@@ -24,13 +24,13 @@
 /// Agents to which an entry keeps connections, as `policy::subset` bounds them.
 const CONNECTIONS: f64 = 48.0;
 
-/// Seconds between two questions of an entry for the sightings that an agent has.
-const SIGHTINGS_EVERY: f64 = 5.0;
+/// Interval in seconds at which an entry requests the statuses of entries from an agent.
+const STATUS_INTERVAL: f64 = 5.0;
 
-/// Base64 in JSON makes a third more of each record.
+/// Factor by which Base64 in JSON enlarges a record.
 const BASE64: f64 = 4.0 / 3.0;
 
-/// Prints the worked-out figures.
+/// Prints the table of extrapolated figures.
 pub(crate) fn print(rows: &[Row]) -> Result<()> {
     let slopes = Slopes { rows };
     let agent_connections = ENTRIES * CONNECTIONS / TARGETS;
@@ -65,51 +65,51 @@
         let cpu = cpu + (change.base + change.slope * CALLERS) * changes;
         line(role, "control, share of a core", &percent(cpu / 1e9), &percent(CORE_SHARE));
         let memory = self.resources("folded state, bytes")?;
-        line(role, "folded configuration, MB", &mega(memory), &mega(MEMORY_BYTES));
+        line(role, "folded configuration, MB", &megabytes(memory), &megabytes(MEMORY_BYTES));
         let bytes = self.link_bytes(connections)?;
         line(
             role,
             "heartbeats and log, bytes a second",
-            &whole(bytes),
-            &whole(LINK_BYTES_A_SECOND),
+            &rounded(bytes),
+            &rounded(LINK_BYTES_A_SECOND),
         );
         Ok(())
     }
 
-    /// The planner's rounds are spread by a fixed time an agent, so its bytes do not grow with a
-    /// large pool; they come on top of its agent's own.
+    /// Prints the planner's bytes, which add to those of its agent. A round of the planner takes a
+    /// fixed time per agent, so in a large pool its bytes per second do not grow.
     fn print_planner(&self) -> Result<()> {
         let bytes = self.line("planner", "links a second, bytes", "agent of its pool")?;
         let largest = bytes.base + bytes.slope * 48.0;
         line(
             "planner",
             "pings, bytes a second, besides its agent's",
-            &whole(largest),
+            &rounded(largest),
             "7000 together",
         );
         Ok(())
     }
 
-    /// A cost of all targets and callers of the plan.
+    /// Cost of all planned targets and callers.
     fn resources(&self, cost: &str) -> Result<f64> {
         let target = self.line("every process", cost, "target")?;
         let caller = self.line("every process", cost, "caller")?;
         Ok(target.slope * TARGETS + caller.slope * CALLERS + target.base + caller.base)
     }
 
-    /// Bytes of the links for control: pings and pongs, sightings, and the log.
+    /// Bytes per second of control work: pings and pongs, statuses of entries, and the log.
     fn link_bytes(&self, connections: f64) -> Result<f64> {
         let idle = self.line("entry", "peer links a second, bytes", "idle connection")?;
-        let sighting = self.line("agent", "pong, bytes", "sighting")?;
+        let status = self.line("agent", "pong, bytes", "sighting")?;
         let log = self.line("entry", "log a second, bytes", "idle process with one connection")?;
         let change = self.line("every process", "log, bytes", "change of configuration")?;
-        let heard = ENTRIES * CONNECTIONS / TARGETS;
-        let asked = connections / CONNECTIONS;
-        let sightings = sighting.slope * heard * asked / SIGHTINGS_EVERY;
+        let entries = ENTRIES * CONNECTIONS / TARGETS;
+        let share = connections / CONNECTIONS;
+        let statuses = status.slope * entries * share / STATUS_INTERVAL;
         let changes = change.slope * CHANGES_A_DAY / SECONDS_A_DAY;
         let checkpoints =
             self.resources("checkpoint, bytes")? * BASE64 * CHECKPOINTS_A_DAY / SECONDS_A_DAY;
-        Ok(idle.base + idle.slope * connections + sightings + log.slope + changes + checkpoints)
+        Ok(idle.base + idle.slope * connections + statuses + log.slope + changes + checkpoints)
     }
 
     fn print_requests(&self, role: &str, processes: f64) -> Result<()> {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Checkpoints of the configuration, which every process reads: one each 15 minutes.
+/// Checkpoints of the configuration per day, one every 15 minutes; every process reads them.
 const CHECKPOINTS_A_DAY: f64 = 96.0;
 
 fn line(role: &str, what: &str, value: &str, limit: &str) {
@@ -133,10 +133,10 @@
     format!("{:.2}%", share * 100.0)
 }
 
-fn mega(bytes: f64) -> String {
+fn megabytes(bytes: f64) -> String {
     format!("{:.1}", bytes / 1e6)
 }
 
-fn whole(value: f64) -> String {
+fn rounded(value: f64) -> String {
     format!("{value:.0}")
 }
--- a/crates/slopes/src/relay.rs
+++ b/crates/slopes/src/relay.rs
@@ -1,4 +1,4 @@
-//! Links that count the bytes they carry, headers of TCP and IP not among them.
+//! Links that count the bytes of their payload, without TCP and IP headers.
 
 use async_trait::async_trait;
 use eyre::Result;
@@ -7,10 +7,10 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A relay in front of one address.
+/// A TCP relay in front of one address.
 #[derive(Clone)]
 pub(crate) struct Relay {
-    /// Where the relay listens, `host:port`.
+    /// Address at which the relay listens, `host:port`.
     pub(crate) address: String,
     bytes: Arc<AtomicU64>,
 }
@@ -23,21 +23,21 @@
         let counted = bytes.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(carry(near, target.clone(), counted.clone()));
+                tokio::spawn(relay(near, target.clone(), counted.clone()));
             }
         });
         Ok(Self { address, bytes })
     }
 
-    /// Bytes carried so far, both ways.
+    /// Bytes relayed so far, in both directions.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 }
 
-async fn carry(near: TcpStream, target: String, bytes: Arc<AtomicU64>) {
+async fn relay(near: TcpStream, target: String, bytes: Arc<AtomicU64>) {
     let Ok(far) = TcpStream::connect(target).await else { return };
-    // Without this the system would hold small frames back and change what is measured.
+    // Nagle's algorithm would delay small frames and distort the measurement.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     join(near, far, &bytes).await;
 }
@@ -55,17 +55,18 @@
     }
 }
 
-/// Dials TCP and counts what goes over the links, so that each process's own are told apart.
-pub(crate) struct Counting {
-    /// Where the bytes are added.
+/// Dials TCP and counts the bytes of the links; one counter per group of processes keeps their
+/// links apart.
+pub(crate) struct CountingDialler {
+    /// Counter that the bytes are added to.
     pub(crate) bytes: Arc<AtomicU64>,
 }
 
-/// How many bytes wait between a process and its link.
+/// Size in bytes of the buffer between a process and its link.
 const BUFFER_BYTES: usize = 64 * 1024;
 
 #[async_trait]
-impl wire::Dialler for Counting {
+impl wire::Dialler for CountingDialler {
     async fn dial(&self, address: &str) -> wire::Result<wire::Pipe> {
         let far = wire::TcpDialler.dial(address).await?;
         let (near, ours) = tokio::io::duplex(BUFFER_BYTES);
@@ -82,10 +83,10 @@
 ) {
     let mut buffer = vec![0; 16 * 1024];
     while let Ok(length) = from.read(&mut buffer).await {
-        let piece = &buffer[..length];
-        if length == 0 || to.write_all(piece).await.is_err() {
+        let chunk = &buffer[..length];
+        if length == 0 || to.write_all(chunk).await.is_err() {
             return;
         }
-        bytes.fetch_add(piece.iter().map(|_| 1).sum(), Ordering::Relaxed);
+        bytes.fetch_add(chunk.iter().map(|_| 1).sum(), Ordering::Relaxed);
     }
 }
--- a/crates/slopes/src/table.rs
+++ b/crates/slopes/src/table.rs
@@ -1,20 +1,20 @@
-//! The table of slopes, in Markdown.
+//! Prints the table of slopes, in Markdown.
 
 use crate::fit::{Line, Point};
 
-/// One row: what was measured against what.
+/// One row: measurements of one cost at several sizes.
 pub(crate) struct Row {
-    /// What carries the cost, such as `entry` or `every process`.
+    /// Role that bears the cost, such as `entry` or `every process`.
     pub(crate) role: &'static str,
-    /// What is measured and its unit, such as `memory, bytes`.
+    /// Cost that is measured and its unit, such as `memory, bytes`.
     pub(crate) cost: &'static str,
-    /// What grows, such as `caller`.
+    /// Unit of size, such as `caller`.
     pub(crate) per: &'static str,
     /// The measurements.
     pub(crate) points: Vec<Point>,
 }
 
-/// Prints the rows.
+/// Prints the rows with the line fitted to each.
 pub(crate) fn print(rows: &[Row]) {
     println!("| Role | Cost | Per | Slope | At size 0 | Residual | Sizes: measured |");
     println!("|---|---|---|---|---|---|---|");
--- a/crates/slopes/src/thread.rs
+++ b/crates/slopes/src/thread.rs
@@ -1,4 +1,4 @@
-//! Roles on threads of their own, so that the system counts each one's processor time.
+//! Threads that run one role each, so that the operating system accounts its CPU time separately.
 
 use eyre::{Result, WrapErr, eyre};
 use std::future::Future;
@@ -15,19 +15,19 @@
 }
 
 impl Thread {
-    /// Starts a thread; it lives as long as the process.
+    /// Starts a thread, which runs until the process ends.
     pub(crate) fn start() -> Result<Self> {
         let (sender, started) = mpsc::channel();
         std::thread::spawn(move || {
             let runtime = Builder::new_current_thread().enable_all().build();
             let Ok(runtime) = runtime else { return };
             let thread = std::fs::read_link("/proc/thread-self");
-            // The starter sees a closed channel if anything above failed.
+            // If anything above failed, the channel is closed and `start` returns an error.
             let _ = sender.send((runtime.handle().clone(), thread));
             runtime.block_on(std::future::pending::<()>());
         });
         let (handle, thread) = started.recv().wrap_err("start a thread")?;
-        let thread = thread.wrap_err("find the thread's number")?;
+        let thread = thread.wrap_err("read the thread's id")?;
         Ok(Self { handle, schedstat: PathBuf::from("/proc").join(thread).join("schedstat") })
     }
 
@@ -40,10 +40,11 @@
         self.handle.spawn(future).await.wrap_err("run on a thread")
     }
 
-    /// Processor time that the thread has used.
+    /// CPU time that the thread has used.
     pub(crate) fn cpu(&self) -> Result<Duration> {
-        let text = std::fs::read_to_string(&self.schedstat).wrap_err("read processor time")?;
+        let text =
+            std::fs::read_to_string(&self.schedstat).wrap_err("read the thread's CPU time")?;
         let nanos = text.split(' ').next().and_then(|field| field.parse().ok());
-        nanos.map(Duration::from_nanos).ok_or_else(|| eyre!("no processor time in `{text}`"))
+        nanos.map(Duration::from_nanos).ok_or_else(|| eyre!("no CPU time in `{text}`"))
     }
 }
--- a/crates/slopes/src/traffic.rs
+++ b/crates/slopes/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Processor time and bytes of a request, a token, a byte of prompt, a connection and a change.
+//! CPU time and bytes per request, token, byte of prompt, connection and change.
 
 use crate::fleet::{Fleet, MODEL};
 use crate::table::Row;
@@ -15,37 +15,38 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-/// Requests in one measurement.
+/// Numbers of requests.
 const REQUESTS: [u32; 4] = [1_000, 2_000, 3_000, 4_000];
 
-/// Tokens of each answer.
+/// Tokens per answer.
 const TOKENS: [u32; 4] = [16, 64, 128, 256];
 
-/// Bytes of each prompt.
+/// Bytes per prompt.
 const PROMPT_BYTES: [u32; 4] = [1_000, 16_000, 32_000, 64_000];
 
-/// Entries of one agent.
+/// Numbers of entries connected to one agent.
 const ENTRIES: [u32; 4] = [2, 8, 16, 32];
 
-/// Agents of one entry; so many that they are pinged as rarely as in a large fleet.
+/// Numbers of agents connected to one entry, large enough that pings are as rare as in a large
+/// fleet.
 const AGENTS: [u32; 4] = [28, 36, 42, 48];
 
-/// Callers in the configuration; the plan has 4,500.
+/// Numbers of callers in the configuration, up to the planned 4,500.
 const CALLERS: [u32; 4] = [500, 1_500, 3_000, 4_500];
 
-/// Changes of configuration published in one measurement.
+/// Numbers of configuration changes published.
 const CHANGES: [u32; 4] = [100, 200, 400, 800];
 
-/// Answers whose tokens or prompts are varied.
+/// Requests per measurement in which the length of answers or prompts varies.
 const ANSWERS: u32 = 200;
 
 /// Requests in flight.
 const CONCURRENCY: usize = 32;
 
-/// How long idle connections are watched.
+/// Time over which idle connections are measured.
 const WATCH: Duration = Duration::from_secs(8);
 
-/// What one measurement saw.
+/// Result of one measurement: CPU time in nanoseconds, and bytes.
 #[derive(Clone, Copy)]
 struct Cost {
     entry: f64,
@@ -58,13 +59,13 @@
 /// The rows of this module.
 pub(crate) async fn rows() -> Result<Vec<Row>> {
     let mut rows = Vec::new();
-    rows.extend(of_requests().await?);
-    rows.extend(of_connections().await?);
-    rows.extend(of_changes().await?);
+    rows.extend(request_rows().await?);
+    rows.extend(connection_rows().await?);
+    rows.extend(change_rows().await?);
     Ok(rows)
 }
 
-async fn of_requests() -> Result<Vec<Row>> {
+async fn request_rows() -> Result<Vec<Row>> {
     let fleet = Fleet::start(1, 1).await?;
     send(&fleet, 500, 1, 100).await?;
     let (mut requests, mut tokens, mut prompts) = (Vec::new(), Vec::new(), Vec::new());
@@ -90,7 +91,7 @@
     Ok(rows)
 }
 
-async fn of_connections() -> Result<Vec<Row>> {
+async fn connection_rows() -> Result<Vec<Row>> {
     let (mut to_agents, mut from_entries) = (Vec::new(), Vec::new());
     for size in AGENTS {
         to_agents.push((f64::from(size), idle(1, size).await?));
@@ -113,10 +114,10 @@
     ])
 }
 
-/// What a fleet without requests spends in a second.
+/// Cost per second of a fleet without requests.
 async fn idle(entries: u32, agents: u32) -> Result<Cost> {
     let fleet = Fleet::start(entries, agents).await?;
-    // Each agent is reached, so that the connection is open.
+    // Enough requests to reach each agent, so that its connection is open.
     send(&fleet, agents * 20, 1, 100).await?;
     let watching = async {
         tokio::time::sleep(WATCH).await;
@@ -125,7 +126,7 @@
     Ok(measure(&fleet, watching).await?.over(WATCH))
 }
 
-async fn of_changes() -> Result<Vec<Row>> {
+async fn change_rows() -> Result<Vec<Row>> {
     let fleet = Fleet::start(1, 1).await?;
     let mut changes = Vec::new();
     for size in CHANGES {
@@ -140,21 +141,24 @@
     }
     let per = "change of configuration";
     let mut rows = vec![row("every process", "log, bytes", per, &changes, |cost| cost.log_bytes)];
-    rows.extend(cpu_rows("caller there is, for a change that comes alone", &of_single().await?));
+    rows.extend(cpu_rows(
+        "caller there is, for a change that comes alone",
+        &single_change_costs().await?,
+    ));
     Ok(rows)
 }
 
-/// What one change costs that comes alone, as most do, against how many callers there are.
-async fn of_single() -> Result<Vec<(f64, Cost)>> {
+/// Cost of a single change, as most changes are, by the number of callers in the configuration.
+async fn single_change_costs() -> Result<Vec<(f64, Cost)>> {
     const ALONE: u32 = 20;
     let fleet = Fleet::start(1, 1).await?;
-    let mut there = 0;
+    let mut existing = 0;
     let mut single = Vec::new();
     for callers in CALLERS {
-        for number in there..callers {
+        for number in existing..callers {
             publish_caller(&fleet, number).await?;
         }
-        there = callers;
+        existing = callers;
         tokio::time::sleep(WATCH / 5).await;
         let publishing = async {
             for number in 0..ALONE {
@@ -176,7 +180,7 @@
 }
 
 impl Cost {
-    /// The cost divided by the seconds of `time`.
+    /// Divides the cost by the seconds of `time`.
     fn over(self, time: Duration) -> Self {
         let seconds = time.as_secs_f64();
         Self {
@@ -206,11 +210,11 @@
     Row { role, cost, per, points: points.iter().map(|(size, cost)| (*size, of(cost))).collect() }
 }
 
-/// What the fleet spends while `work` runs.
+/// Measures the cost to the fleet while `work` runs.
 async fn measure(fleet: &Fleet, work: impl Future<Output = Result<()>>) -> Result<Cost> {
-    let before = spent(fleet)?;
+    let before = total_cost(fleet)?;
     work.await?;
-    let after = spent(fleet)?;
+    let after = total_cost(fleet)?;
     Ok(Cost {
         entry: after.entry - before.entry,
         agents: after.agents - before.agents,
@@ -220,7 +224,7 @@
     })
 }
 
-fn spent(fleet: &Fleet) -> Result<Cost> {
+fn total_cost(fleet: &Fleet) -> Result<Cost> {
     let nanos = |time: Duration| time.as_secs_f64() * 1e9;
     let count = |bytes: u64| f64::from(u32::try_from(bytes).unwrap_or(u32::MAX));
     Ok(Cost {
@@ -232,7 +236,8 @@
     })
 }
 
-/// Sends `requests` streamed completions, some side by side; each must be answered whole.
+/// Sends `requests` streamed completions, up to [`CONCURRENCY`] at once; each must be answered
+/// completely.
 async fn send(fleet: &Fleet, requests: u32, tokens: u32, prompt_bytes: u32) -> Result<()> {
     let client = Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let permits = Arc::new(Semaphore::new(CONCURRENCY));
@@ -250,7 +255,7 @@
             let answer = response.into_body().collect().await?.to_bytes();
             let answer = String::from_utf8_lossy(&answer);
             ensure!(status.is_success(), "{status}: {answer}");
-            ensure!(answer.ends_with("data: [DONE]\n\n"), "a cut answer: {answer}");
+            ensure!(answer.ends_with("data: [DONE]\n\n"), "truncated answer: {answer}");
             Ok(())
         });
     }
