--- a/crates/agent/src/daemon.rs
+++ b/crates/agent/src/daemon.rs
@@ -3,12 +3,12 @@
 use crate::answers::Answers;
 use crate::bootstrap::Bootstrap;
 use crate::dispatcher::Dispatcher;
+use crate::entry_statuses::EntryStatuses;
 use crate::health::Health;
 use crate::keyed_calls::InFlightCalls;
 use crate::meter::Meter;
 use crate::metrics::Metrics;
 use crate::shared::Shared;
-use crate::sightings::Sightings;
 use crate::suspects::Suspects;
 use crate::tasks::Tasks;
 use crate::{Context, Result, claim, metrics, orders, plan, session};
@@ -69,7 +69,7 @@
             meter: Meter::default(),
             health: Health::default(),
             answers: Answers::default(),
-            sightings: Sightings::default(),
+            entry_statuses: EntryStatuses::default(),
             config_health: follower.health(),
             system: system.state(),
             system_health: system.health(),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -15,6 +15,7 @@
 mod context;
 mod daemon;
 mod dispatcher;
+mod entry_statuses;
 mod error;
 mod flight;
 mod health;
@@ -31,7 +32,6 @@
 mod service_call;
 mod session;
 mod shared;
-mod sightings;
 mod suspects;
 mod tasks;
 
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -122,12 +122,12 @@
 
     async fn pong(&self, ping: Ping) -> bool {
         if let Some(sender) = ping.sender {
-            self.shared.sightings.record(sender);
+            self.shared.entry_statuses.record(sender);
         }
-        let sightings =
-            if ping.include_entries { self.shared.sightings.list() } else { Vec::new() };
+        let entry_statuses =
+            if ping.include_entries { self.shared.entry_statuses.list() } else { Vec::new() };
         let load = Some(self.shared.load());
-        let pong = Pong { nonce: ping.nonce, load, entries: sightings };
+        let pong = Pong { nonce: ping.nonce, load, entries: entry_statuses };
         self.outbox.send(Frame::new(Body::Pong(pong))).await.is_ok()
     }
 
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -3,11 +3,11 @@
 use crate::Backend;
 use crate::answers::Answers;
 use crate::dispatcher::{self, Dispatcher};
+use crate::entry_statuses::EntryStatuses;
 use crate::health::{Health, State};
 use crate::keyed_calls::InFlightCalls;
 use crate::meter::Meter;
 use crate::metrics::Metrics;
-use crate::sightings::Sightings;
 use crate::suspects::Suspects;
 use crate::tasks::Tasks;
 use compact_str::{CompactString, format_compact};
@@ -36,7 +36,7 @@
     pub(crate) meter: Meter,
     pub(crate) health: Health,
     pub(crate) answers: Answers,
-    pub(crate) sightings: Sightings,
+    pub(crate) entry_statuses: EntryStatuses,
     pub(crate) config_health: watch::Receiver<state::Health>,
     pub(crate) system: watch::Receiver<Arc<System>>,
     pub(crate) system_health: watch::Receiver<state::Health>,
--- a/crates/agent/tests/streams.rs
+++ b/crates/agent/tests/streams.rs
@@ -143,7 +143,7 @@
 // report it in their pings. Old reports must expire, or entries that were replaced would be counted
 // forever.
 #[tokio::test(start_paused = true)]
-async fn sightings_of_entries_are_forwarded_and_expire() {
+async fn entry_statuses_are_forwarded_and_expire() {
     let harness = Harness::default();
     let (_engine, _agent) = harness.engine("engine-1", 4).await;
     let mut entry = harness.entry("entry-1", "engine-1").await;
@@ -152,15 +152,15 @@
     entry.send(Body::Ping(Ping { nonce: 1, sender: Some(sender), include_entries: false })).await;
     settle().await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let seen = sightings(&harness).await;
+    let seen = entry_statuses(&harness).await;
     assert_eq!(seen.len(), 1);
     assert_eq!((seen[0].entry.as_str(), seen[0].prompt_rate), ("entry-1", 900));
     assert!(seen[0].age_ms >= 2_000);
     tokio::time::sleep(Duration::from_secs(61)).await;
-    assert_eq!(sightings(&harness).await, []);
+    assert_eq!(entry_statuses(&harness).await, []);
 }
 
-async fn sightings(harness: &Harness) -> Vec<EntryStatus> {
+async fn entry_statuses(harness: &Harness) -> Vec<EntryStatus> {
     let mut entry = harness.entry("entry-2", "engine-1").await;
     entry.send(Body::Ping(Ping { nonce: 2, sender: None, include_entries: true })).await;
     loop {
--- a/crates/entry/src/decisions.rs
+++ b/crates/entry/src/decisions.rs
@@ -138,14 +138,14 @@
     }
 
     /// Applies the status reports of other entries: their liveness and their callers' usage.
-    pub(crate) fn observe_entries(&self, own: &str, sightings: &[wire::EntryStatus]) {
+    pub(crate) fn observe_entries(&self, own: &str, statuses: &[wire::EntryStatus]) {
         let now = self.now();
         let mut traffic = self.lock();
-        for sighting in sightings.iter().filter(|sighting| sighting.entry != own) {
-            let last_seen = now.saturating_sub(Duration::from_millis(sighting.age_ms));
-            traffic.entries.insert(sighting.entry.clone(), last_seen);
-            let usage: Vec<_> = sighting.usages.iter().map(usage_from_wire).collect();
-            traffic.limits().observe_peer(policy::hash(&sighting.entry), &usage, now);
+        for status in statuses.iter().filter(|status| status.entry != own) {
+            let last_seen = now.saturating_sub(Duration::from_millis(status.age_ms));
+            traffic.entries.insert(status.entry.clone(), last_seen);
+            let usage: Vec<_> = status.usages.iter().map(usage_from_wire).collect();
+            traffic.limits().observe_peer(policy::hash(&status.entry), &usage, now);
         }
         traffic.entries.retain(|_, last_seen| now.saturating_sub(*last_seen) < ENTRY_EXPIRY);
         let live = traffic.entries.len() + 1;
@@ -153,13 +153,13 @@
     }
 
     /// Adds demand and the usage of active callers to this entry's status.
-    pub(crate) fn report_demand(&self, sighting: &mut wire::EntryStatus) {
+    pub(crate) fn report_demand(&self, status: &mut wire::EntryStatus) {
         let now = self.now();
         let mut traffic = self.lock();
         let (prompt, output) = traffic.demand.rates(now);
-        sighting.prompt_rate = prompt;
-        sighting.output_rate = output;
-        sighting.usages = traffic.limits().report(now).into_iter().map(usage_to_wire).collect();
+        status.prompt_rate = prompt;
+        status.output_rate = output;
+        status.usages = traffic.limits().report(now).into_iter().map(usage_to_wire).collect();
     }
 
     /// Refuses a prompt that can't begin before its deadline at any of the candidates.
--- a/crates/entry/src/maintenance.rs
+++ b/crates/entry/src/maintenance.rs
@@ -26,7 +26,7 @@
         shared.peers.update_persistent(&connection_subset(&shared, &view), &configured);
         let end = view.end;
         shared.metrics.config_offset.set(i64::try_from(end).unwrap_or(i64::MAX));
-        shared.peers.context().update_sighting(|sighting| sighting.config_offset = end);
+        shared.peers.context().update_entry_status(|status| status.config_offset = end);
         if config.changed().await.is_err() {
             return;
         }
@@ -47,7 +47,7 @@
             },
             decisions.now(),
         );
-        shared.peers.context().update_sighting(|sighting| decisions.report_demand(sighting));
+        shared.peers.context().update_entry_status(|status| decisions.report_demand(status));
     }
 }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -22,8 +22,8 @@
     pub(crate) decisions: Arc<Decisions>,
     pub(crate) processes: Processes,
     next_attempt: AtomicU64,
-    sighting: RwLock<EntryStatus>,
-    sightings_requested_at: Mutex<Option<Duration>>,
+    entry_status: RwLock<EntryStatus>,
+    entry_statuses_requested_at: Mutex<Option<Duration>>,
     persistent_count: AtomicUsize,
 }
 
@@ -48,10 +48,11 @@
         decisions: Arc<Decisions>,
     ) -> Self {
         let incarnation = random.number();
-        let sighting =
+        let entry_status =
             EntryStatus { entry: name.to_string(), incarnation, ..EntryStatus::default() };
-        let (next_attempt, sighting) = (AtomicU64::new(1), RwLock::new(sighting));
-        let (sightings_requested_at, persistent_count) = (Mutex::default(), AtomicUsize::new(0));
+        let (next_attempt, entry_status) = (AtomicU64::new(1), RwLock::new(entry_status));
+        let (entry_statuses_requested_at, persistent_count) =
+            (Mutex::default(), AtomicUsize::new(0));
         Self {
             dialler,
             key,
@@ -61,8 +62,8 @@
             decisions,
             processes: Processes::default(),
             next_attempt,
-            sighting,
-            sightings_requested_at,
+            entry_status,
+            entry_statuses_requested_at,
             persistent_count,
         }
     }
@@ -74,25 +75,26 @@
     }
 
     /// Returns the entry's status as sent with each ping.
-    pub(crate) fn sighting(&self) -> EntryStatus {
+    pub(crate) fn entry_status(&self) -> EntryStatus {
         /// Maximum number of callers whose usage is reported to each of many agents.
         const MAX_USAGES: usize = 4;
-        let mut sighting = self.sighting.read().unwrap_or_else(PoisonError::into_inner).clone();
+        let mut entry_status =
+            self.entry_status.read().unwrap_or_else(PoisonError::into_inner).clone();
         if self.has_many_agents() {
-            sighting.usages.truncate(MAX_USAGES);
+            entry_status.usages.truncate(MAX_USAGES);
         }
-        sighting
+        entry_status
     }
 
     /// Returns whether to request an agent's view of the other entries now, and records the request
     /// if so.
-    pub(crate) fn take_sightings_due(&self) -> bool {
-        /// Each response has about 36 sightings of up to 0.4 KB at the design size; one every five
-        /// seconds stays below 3 KB/s.
+    pub(crate) fn take_entry_statuses_due(&self) -> bool {
+        /// Each response has about 36 entry statuses of up to 0.4 KB at the design size; one every
+        /// five seconds stays below 3 KB/s.
         const INTERVAL: Duration = Duration::from_secs(5);
         let now = self.decisions.now();
         let mut requested_at =
-            self.sightings_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
+            self.entry_statuses_requested_at.lock().unwrap_or_else(PoisonError::into_inner);
         let due =
             requested_at.is_none_or(|requested_at| now.saturating_sub(requested_at) >= INTERVAL);
         if due {
@@ -123,8 +125,8 @@
     }
 
     /// Modifies the entry's status.
-    pub(crate) fn update_sighting(&self, change: impl FnOnce(&mut EntryStatus)) {
-        change(&mut self.sighting.write().unwrap_or_else(PoisonError::into_inner));
+    pub(crate) fn update_entry_status(&self, change: impl FnOnce(&mut EntryStatus)) {
+        change(&mut self.entry_status.write().unwrap_or_else(PoisonError::into_inner));
     }
 }
 
--- a/crates/entry/src/processes.rs
+++ b/crates/entry/src/processes.rs
@@ -48,14 +48,14 @@
     }
 
     /// Records the entries reported by an agent.
-    pub(crate) fn observe_entries(&self, sightings: &[EntryStatus]) {
+    pub(crate) fn observe_entries(&self, statuses: &[EntryStatus]) {
         let now = Instant::now();
         let mut entries = self.entries();
-        for sighting in sightings {
-            let age = Duration::from_millis(sighting.age_ms);
+        for status in statuses {
+            let age = Duration::from_millis(status.age_ms);
             let at = now.checked_sub(age).unwrap_or(now);
-            let reported = (sighting.config_offset, at);
-            let known = entries.entry(sighting.entry.to_compact_string()).or_insert(reported);
+            let reported = (status.config_offset, at);
+            let known = entries.entry(status.entry.to_compact_string()).or_insert(reported);
             // Several agents report the same entry; an older report must not replace a newer one.
             if at >= known.1 {
                 *known = reported;
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -158,8 +158,8 @@
 
     fn ping(&self, context: &PeerContext) {
         let nonce = self.next_nonce.fetch_add(1, Ordering::Relaxed);
-        let sender = Some(context.sighting());
-        let ping = Ping { nonce, sender, include_entries: context.take_sightings_due() };
+        let sender = Some(context.entry_status());
+        let ping = Ping { nonce, sender, include_entries: context.take_entry_statuses_due() };
         // A full queue means that the agent does not read; the heartbeat timeout then ends the
         // connection.
         let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
--- a/crates/slopes/src/frames.rs
+++ b/crates/slopes/src/frames.rs
@@ -29,10 +29,10 @@
 }
 
 fn ping(usages: u32) -> Ping {
-    Ping { nonce: 1 << 20, sender: Some(sighting(usages)), include_entries: true }
+    Ping { nonce: 1 << 20, sender: Some(entry_status(usages)), include_entries: true }
 }
 
-fn pong(sightings: u32) -> Pong {
+fn pong(entry_statuses: u32) -> Pong {
     let load = Load {
         target: "engine-700".to_owned(),
         prompt_tokens: 20_000,
@@ -50,14 +50,14 @@
         wait_ms: 300,
         token_time_us: 40_000,
     };
-    let sightings = (0..sightings).map(|_| sighting(TYPICAL_USAGES)).collect();
-    Pong { nonce: 1 << 20, load: Some(load), entries: sightings }
+    let entry_statuses = (0..entry_statuses).map(|_| entry_status(TYPICAL_USAGES)).collect();
+    Pong { nonce: 1 << 20, load: Some(load), entries: entry_statuses }
 }
 
 /// Busy callers that an entry reports if it reports to many agents.
 const TYPICAL_USAGES: u32 = 4;
 
-fn sighting(usages: u32) -> EntryStatus {
+fn entry_status(usages: u32) -> EntryStatus {
     let usage = |caller| Usage { caller, rate: 900, open: 2 };
     EntryStatus {
         entry: "entry-390".to_owned(),
