--- a/crates/agent/src/asks.rs
+++ b/crates/agent/src/asks.rs
@@ -10,15 +10,15 @@
 const KV_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Returns the reply to a query. Its body is empty if the requested data does not exist.
-pub(crate) async fn answer(shared: &Shared, ask: Query) -> Reply {
-    let body = match QueryKind::try_from(ask.kind) {
+pub(crate) async fn answer(shared: &Shared, query: Query) -> Reply {
+    let body = match QueryKind::try_from(query.kind) {
         Ok(QueryKind::Snapshot) => bootstrap::snapshot(shared),
-        Ok(QueryKind::Explain) => explain(shared, &ask.body),
-        Ok(QueryKind::KvCache) => kv_cache(shared, &ask.body).await.unwrap_or_default(),
+        Ok(QueryKind::Explain) => explain(shared, &query.body),
+        Ok(QueryKind::KvCache) => kv_cache(shared, &query.body).await.unwrap_or_default(),
         // A kind of a newer version, which is unknown here.
         Err(_) => Bytes::new(),
     };
-    Reply { id: ask.id, body }
+    Reply { id: query.id, body }
 }
 
 async fn kv_cache(shared: &Shared, request: &[u8]) -> Option<Bytes> {
--- a/crates/agent/src/bootstrap.rs
+++ b/crates/agent/src/bootstrap.rs
@@ -14,10 +14,10 @@
 use wire::QueryKind;
 
 /// How long to wait for the reply of one agent.
-const ASK_TIMEOUT: Duration = Duration::from_secs(1);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Interval between queries to agents while the log is unavailable.
-const ASK_INTERVAL: Duration = Duration::from_secs(1);
+const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The state counts as current if it was complete up to the end of the log this recently.
 const MAX_LOG_AGE: Duration = Duration::from_secs(10);
@@ -37,13 +37,13 @@
     /// current.
     pub(crate) async fn run(self) {
         for round in 0.. {
-            tokio::time::sleep(ASK_INTERVAL).await;
+            tokio::time::sleep(QUERY_INTERVAL).await;
             if self.health.borrow().is_fresh(MAX_LOG_AGE) {
                 continue;
             }
             let addresses = self.addresses();
             if let Some(address) = addresses.get(round % addresses.len().max(1)) {
-                self.ask(address).await;
+                self.query(address).await;
             }
         }
     }
@@ -58,9 +58,9 @@
         addresses
     }
 
-    async fn ask(&self, address: &CompactString) {
-        let ask = peer::ask(&self.shared, address, QueryKind::Snapshot, Bytes::new());
-        let Ok(Ok(reply)) = tokio::time::timeout(ASK_TIMEOUT, ask).await else { return };
+    async fn query(&self, address: &CompactString) {
+        let query = peer::query(&self.shared, address, QueryKind::Snapshot, Bytes::new());
+        let Ok(Ok(reply)) = tokio::time::timeout(QUERY_TIMEOUT, query).await else { return };
         let Ok(snapshots) = Snapshots::read(address, &reply) else {
             return log::warn!(peer = address.as_str(); "state-unreadable");
         };
--- a/crates/agent/src/kv.rs
+++ b/crates/agent/src/kv.rs
@@ -18,8 +18,8 @@
 pub(crate) async fn fetch(shared: &Shared, source: &str, request: &str) -> Option<Bytes> {
     let address = agent_address(shared, source)?;
     let body = Bytes::copy_from_slice(request.as_bytes());
-    let ask = peer::ask(shared, &address, QueryKind::KvCache, body);
-    match tokio::time::timeout(FETCH_TIMEOUT, ask).await {
+    let query = peer::query(shared, &address, QueryKind::KvCache, body);
+    match tokio::time::timeout(FETCH_TIMEOUT, query).await {
         Ok(Ok(cache)) if cache.is_empty() => None,
         Ok(Ok(cache)) => Some(cache),
         Ok(Err(error)) => {
--- a/crates/agent/src/peer.rs
+++ b/crates/agent/src/peer.rs
@@ -6,7 +6,7 @@
 use wire::{Body, Connection, Error, Frame, Query, QueryKind};
 
 /// Sends the query over a separate connection, since such queries are rare and their replies large.
-pub(crate) async fn ask(
+pub(crate) async fn query(
     shared: &Shared,
     address: &CompactString,
     kind: QueryKind,
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -108,7 +108,7 @@
             Some(Body::Credit(credit)) => self.attempts.credit(credit),
             Some(Body::Attach(attach)) => self.attempts.attach(attach).await,
             Some(Body::Ping(ping)) => return self.pong(ping).await,
-            Some(Body::Query(ask)) => self.ask(ask),
+            Some(Body::Query(query)) => self.answer_query(query),
             // They only show that the peer is alive, which `read` has recorded.
             Some(Body::Pong(_) | Body::Reply(_)) => {}
             Some(Body::Hello(_) | Body::Proof(_) | Body::Event(_)) => {
@@ -132,10 +132,10 @@
     }
 
     /// Replies in a separate task, since the engine may take long.
-    fn ask(&self, ask: Query) {
+    fn answer_query(&self, query: Query) {
         let (shared, outbox) = (self.shared.clone(), self.outbox.clone());
         self.tasks.spawn_job(async move {
-            let reply = asks::answer(&shared, ask).await;
+            let reply = asks::answer(&shared, query).await;
             // Fails only if the connection is closed.
             let _ = outbox.send(Frame::new(Body::Reply(reply))).await;
         });
--- a/crates/entry/src/agent_queries.rs
+++ b/crates/entry/src/agent_queries.rs
@@ -32,7 +32,7 @@
     async fn query_agent(&self, target: &str, kind: QueryKind, body: Bytes) -> Option<Bytes> {
         let target = self.view.borrow().target(target)?.clone();
         let session = target.peer.session(QUERY_TIMEOUT).await?;
-        let reply = tokio::time::timeout(QUERY_TIMEOUT, session.ask(kind, body)).await;
+        let reply = tokio::time::timeout(QUERY_TIMEOUT, session.query(kind, body)).await;
         reply.ok()?.filter(|reply| !reply.is_empty())
     }
 }
--- a/crates/entry/src/bootstrap.rs
+++ b/crates/entry/src/bootstrap.rs
@@ -70,7 +70,7 @@
         let peer = self.shared.peers.get(address);
         let request = async {
             let session = peer.session(AGENT_TIMEOUT).await?;
-            session.ask(QueryKind::Snapshot, Bytes::new()).await
+            session.query(QueryKind::Snapshot, Bytes::new()).await
         };
         let reply = tokio::time::timeout(AGENT_TIMEOUT, request).await.ok().flatten();
         let Some(reply) = reply.filter(|reply| !reply.is_empty()) else { return };
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -102,12 +102,12 @@
 
     /// Sends a query that belongs to no attempt; returns `None` if the connection is lost before
     /// the reply.
-    pub(crate) async fn ask(&self, kind: QueryKind, body: Bytes) -> Option<Bytes> {
+    pub(crate) async fn query(&self, kind: QueryKind, body: Bytes) -> Option<Bytes> {
         let id = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
         self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner).insert(id, sender);
-        let ask = Query { id, kind: kind.into(), body };
-        self.outbox.send(Frame::new(Body::Query(ask))).await.ok()?;
+        let query = Query { id, kind: kind.into(), body };
+        self.outbox.send(Frame::new(Body::Query(query))).await.ok()?;
         answer.await.ok()
     }
 
--- a/crates/itest/tests/cut_off.rs
+++ b/crates/itest/tests/cut_off.rs
@@ -33,14 +33,14 @@
     let begun = tokio::time::Instant::now();
     let entry = Arc::new(entry::Entry::start(context));
     let mut connection = script.accept(true).await;
-    let Body::Query(ask) = connection.next().await else { panic!("expected a query") };
-    assert_eq!(ask.kind(), QueryKind::Snapshot);
+    let Body::Query(query) = connection.next().await else { panic!("expected a query") };
+    assert_eq!(query.kind(), QueryKind::Snapshot);
     let older = Snapshot::of(plat::CONFIG_STREAM, &Config::default());
     let all = vec![
         Snapshot::of(plat::CONFIG_STREAM, &*config),
         Snapshot::of(plat::SYSTEM_STREAM, &System::default()),
     ];
-    connection.reply(ask.id, Snapshots { all }.bytes());
+    connection.reply(query.id, Snapshots { all }.bytes());
     let serving = tokio::spawn({
         let entry = entry.clone();
         async move {
@@ -53,8 +53,8 @@
         match connection.next().await {
             Body::Submit(submit) => break submit,
             // An older snapshot that arrives later must not replace the newer state.
-            Body::Query(ask) => {
-                connection.reply(ask.id, Snapshots { all: vec![older.clone()] }.bytes())
+            Body::Query(query) => {
+                connection.reply(query.id, Snapshots { all: vec![older.clone()] }.bytes())
             }
             other => panic!("unexpected {other:?}"),
         }
--- a/crates/itest/tests/responses.rs
+++ b/crates/itest/tests/responses.rs
@@ -211,8 +211,8 @@
         let (entry, id) = (entry.clone(), id.1.clone());
         async move { entry.explain(&id).await }
     });
-    let Body::Query(ask) = connection.next().await else { panic!("expected a query") };
-    connection.reply(ask.id, Bytes::from_static(b"target=engine-1\n"));
+    let Body::Query(query) = connection.next().await else { panic!("expected a query") };
+    connection.reply(query.id, Bytes::from_static(b"target=engine-1\n"));
     let explanation = explaining.await.expect("the request task ends").expect("known");
     insta::assert_snapshot!(serde_json::to_string_pretty(&explanation).expect("plain data"));
     assert!(entry.explain("no-such-request").await.is_none());
