--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -92,13 +92,13 @@
         let all = matches.get_many::<String>(name).unwrap_or_default();
         all.filter(|address| !address.is_empty()).map(CompactString::from).collect()
     };
-    let aim = Endpoints {
+    let endpoints = Endpoints {
         entries: list("entries"),
         direct: list("direct"),
         services: list("services"),
         engines: list("engines"),
     };
-    let report = runtime()?.block_on(::load::run(mix, aim))?;
+    let report = runtime()?.block_on(::load::run(mix, endpoints))?;
     match matches.get_one::<String>("output").map(String::as_str) {
         Some("json") => println!("{}", serde_json::to_string_pretty(&report)?),
         _ => print!("{}", report.table()),
--- a/crates/direct/src/shared.rs
+++ b/crates/direct/src/shared.rs
@@ -331,7 +331,7 @@
 
     /// Releases a reservation of the link for bytes that are not sent after all.
     pub fn release_link(&self, bytes: u64) {
-        self.link().give_back(bytes);
+        self.link().release(bytes);
     }
 
     /// The timeout for opening a connection to a target.
@@ -351,7 +351,7 @@
     /// Counts bytes that are sent to targets.
     pub fn record_bytes_sent(&self, bytes: usize) {
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-        self.link().send(bytes, self.started.elapsed());
+        self.link().record_sent(bytes, self.started.elapsed());
     }
 
     fn link(&self) -> MutexGuard<'_, link::Link> {
--- a/crates/policy/src/link.rs
+++ b/crates/policy/src/link.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records bytes that are sent at once.
-    pub fn send(&mut self, bytes: u64, now: Time) {
+    pub fn record_sent(&mut self, bytes: u64, now: Time) {
         self.idle_at = self.idle_at.max(now) + self.transmission_time(bytes);
     }
 
@@ -79,12 +79,12 @@
         if too_long && !small {
             return Err(wait);
         }
-        self.send(bytes, now);
+        self.record_sent(bytes, now);
         Ok(if small { Duration::ZERO } else { wait.saturating_sub(self.settings.max_in_flight) })
     }
 
     /// Releases a reservation for bytes that are not sent after all.
-    pub fn give_back(&mut self, bytes: u64) {
+    pub fn release(&mut self, bytes: u64) {
         self.idle_at = self.idle_at.saturating_sub(self.transmission_time(bytes));
     }
 
--- a/crates/policy/tests/link.rs
+++ b/crates/policy/tests/link.rs
@@ -117,6 +117,6 @@
     let mut link = small();
     for _ in 0..100 {
         assert!(link.reserve(18_400, OBJECTIVE, Duration::ZERO).is_ok());
-        link.give_back(18_400);
+        link.release(18_400);
     }
 }
