--- a/crates/agent/src/claim.rs
+++ b/crates/agent/src/claim.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use conf::resource::Target;
-use state::{Calls, Checkpointer, CheckpointerSettings, Held, Lease, LeaseSettings};
+use state::{Calls, Checkpointer, CheckpointerSettings, HeldClaim, Lease, LeaseSettings};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -27,7 +27,7 @@
         let required = shared.resource().as_ref().and_then(required_lease);
         if let Some((lease, max_action)) = required {
             let settings = settings(&shared, lease, max_action);
-            let lease = Lease::keep(settings, shared.appender.clone(), shared.calls.clone());
+            let lease = Lease::spawn(settings, shared.appender.clone(), shared.calls.clone());
             let held = lease.held();
             let checkpoints = checkpointer(&shared, &lease).run();
             tokio::select! {
@@ -58,7 +58,7 @@
 }
 
 /// Publishes the state of the lease to the agent's tasks, until the task of the lease ends.
-async fn publish(shared: &Shared, mut held: watch::Receiver<Option<Held>>) {
+async fn publish(shared: &Shared, mut held: watch::Receiver<Option<HeldClaim>>) {
     loop {
         let now = *held.borrow_and_update();
         shared.held.send_replace(now);
--- a/crates/agent/src/flight.rs
+++ b/crates/agent/src/flight.rs
@@ -13,7 +13,7 @@
 use futures_util::StreamExt;
 use policy::estimate::Cost;
 use state::record::{self, Body};
-use state::{Error, Fold, Held};
+use state::{Error, Fold, HeldClaim};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
     shared: Arc<Shared>,
     key: CallKey,
     call: Call,
-    held: Held,
+    held: HeldClaim,
     answer: Arc<Answer>,
     caller: CompactString,
     urgent: bool,
@@ -49,7 +49,7 @@
         job: &Job,
         key: CallKey,
         call: Call,
-        held: Held,
+        held: HeldClaim,
         answer: Arc<Answer>,
     ) -> Self {
         Self {
--- a/crates/agent/src/keyed_calls.rs
+++ b/crates/agent/src/keyed_calls.rs
@@ -15,7 +15,7 @@
 use bytes::Bytes;
 use policy::estimate::Cost;
 use sha2::{Digest, Sha256};
-use state::{CallEntry, CallStatus, Held};
+use state::{CallEntry, CallStatus, HeldClaim};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     /// Wait for the same call, which is in flight here.
     Join(Reader),
     /// Execute the call.
-    Run(Held),
+    Run(HeldClaim),
     /// Record that this intent of the agent was never dispatched, then decide again.
     ReleaseKey(u64),
 }
@@ -92,7 +92,7 @@
             refusal::retry_after(unknown("in-progress", "the same call is under way"), RETRY_AFTER)
         });
     }
-    let held = (*shared.held.borrow()).filter(Held::is_valid);
+    let held = (*shared.held.borrow()).filter(HeldClaim::is_valid);
     match (recorded.map(|call| &call.status), held) {
         (Some(CallStatus::Answered(answer)), _) => Ok(Action::Replay(answer.clone())),
         (Some(CallStatus::Pending), Some(held)) if is_own_intent(recorded, held) => {
@@ -111,7 +111,7 @@
     }
 }
 
-fn is_own_intent(recorded: Option<&CallEntry>, held: Held) -> bool {
+fn is_own_intent(recorded: Option<&CallEntry>, held: HeldClaim) -> bool {
     recorded.is_some_and(|call| call.claim == held.claim)
 }
 
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -18,7 +18,7 @@
 use compact_str::{CompactString, format_compact};
 use conf::resource::Role;
 use state::record::{Body, OrderKind, OrderOutcome};
-use state::{Held, OrderEntry};
+use state::{HeldClaim, OrderEntry};
 use std::sync::Arc;
 use std::time::Duration;
 use target::{Engine, Error, Order, Status};
@@ -157,7 +157,7 @@
 /// log.
 fn may_send_orders(shared: &Shared) -> bool {
     let Some(target) = shared.resource() else { return false };
-    let claim_held = (*shared.held.borrow()).is_some_and(|held: Held| held.is_valid());
+    let claim_held = (*shared.held.borrow()).is_some_and(|held: HeldClaim| held.is_valid());
     target.checks_fencing || claim_held && shared.system_health.borrow().is_fresh(MAX_LOG_AGE)
 }
 
--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -15,7 +15,7 @@
 use conf::Spec;
 use conf::resource::{Phase, Target};
 use policy::estimate::{Cost, Rates};
-use state::{Appender, Calls, Config, Held, System};
+use state::{Appender, Calls, Config, HeldClaim, System};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     pub(crate) calls_health: watch::Receiver<state::Health>,
     pub(crate) appender: Appender,
     /// The claim on the target, while it is held.
-    pub(crate) held: watch::Sender<Option<Held>>,
+    pub(crate) held: watch::Sender<Option<HeldClaim>>,
     pub(crate) in_flight: InFlightCalls,
     pub(crate) suspects: Suspects,
     pub(crate) metrics: Metrics,
--- a/crates/duty/src/planner.rs
+++ b/crates/duty/src/planner.rs
@@ -10,7 +10,7 @@
 use plat::SYSTEM_STREAM;
 use state::record::{Body, Order, OrderKind};
 use state::{
-    Appender, Checkpointer, Config, Error, Fold, Health, Held, Lease, LeaseSettings, System,
+    Appender, Checkpointer, Config, Error, Fold, Health, HeldClaim, Lease, LeaseSettings, System,
 };
 use std::sync::Arc;
 use std::time::Duration;
@@ -83,7 +83,7 @@
         let Context { pool, incarnation, fallback_delay, appender, system, .. } = &self.context;
         let settings = LeaseSettings::new(SYSTEM_STREAM.into(), scope(pool), *incarnation);
         let settings = settings.fallback_delay(*fallback_delay);
-        let lease = Lease::keep(settings, appender.clone(), system.state.clone());
+        let lease = Lease::spawn(settings, appender.clone(), system.state.clone());
         let held = lease.held();
         let mut checkpoints = JoinSet::new();
         checkpoints.spawn(self.checkpointer(SYSTEM_STREAM, &self.context.system, &held));
@@ -97,16 +97,16 @@
         &self,
         stream: &str,
         followed: &Followed<F>,
-        held: &watch::Receiver<Option<Held>>,
+        held: &watch::Receiver<Option<HeldClaim>>,
     ) -> impl Future<Output = ()> + Send + 'static {
         let Followed { state, health } = followed.clone();
         let appender = self.context.appender.clone();
         Checkpointer::new(stream.into(), appender, state, health, held.clone()).run()
     }
 
-    async fn plan(&mut self, mut held: watch::Receiver<Option<Held>>) {
+    async fn plan(&mut self, mut held: watch::Receiver<Option<HeldClaim>>) {
         loop {
-            let valid = |held: &Option<Held>| held.is_some_and(|held| held.is_valid());
+            let valid = |held: &Option<HeldClaim>| held.is_some_and(|held| held.is_valid());
             if !valid(&held.borrow()) {
                 self.context.fleet.observe(&[]).await;
                 if held.wait_for(valid).await.is_err() {
@@ -120,7 +120,7 @@
     }
 
     /// Observes the pool once and appends the orders that it needs.
-    async fn tick(&mut self, held: &watch::Receiver<Option<Held>>) {
+    async fn tick(&mut self, held: &watch::Receiver<Option<HeldClaim>>) {
         let config = self.context.config.state.borrow().clone();
         let system = self.context.system.state.borrow().clone();
         let agents = agents(&config, &self.context.pool);
@@ -132,7 +132,9 @@
             let current = *held.borrow();
             // Checked before each append. If another process claims the pool between check and
             // append, the order is void in the log.
-            let Some(claim) = current.filter(Held::is_valid).map(|held| held.claim) else { return };
+            let Some(claim) = current.filter(HeldClaim::is_valid).map(|held| held.claim) else {
+                return;
+            };
             self.append_order(claim, target, kind).await;
         }
     }
--- a/crates/entry/src/daemon.rs
+++ b/crates/entry/src/daemon.rs
@@ -158,7 +158,8 @@
     pub(crate) fn metrics_text(&self) -> String {
         let health = self.health.borrow().clone();
         self.metrics.log_lag.set(i64::try_from(health.lag()).unwrap_or(i64::MAX));
-        let age = health.fresh.map(|fresh| i64::try_from(fresh.elapsed().as_secs()));
+        let age =
+            health.complete_at.map(|complete_at| i64::try_from(complete_at.elapsed().as_secs()));
         self.metrics.log_age.set(age.map_or(-1, |age| age.unwrap_or(i64::MAX)));
         self.metrics.open.set(i64::try_from(self.capacity.open_requests()).unwrap_or(i64::MAX));
         self.metrics.text()
--- a/crates/state/examples/slopes.rs
+++ b/crates/state/examples/slopes.rs
@@ -225,7 +225,7 @@
     let stream = plat::SYSTEM_STREAM.into();
     let settings = LeaseSettings::new(stream, "planner/main".into(), incarnation);
     let appender = Appender::new(log, format!("agent-{incarnation}").into());
-    (Lease::keep(settings, appender, state), following)
+    (Lease::spawn(settings, appender, state), following)
 }
 
 fn start_lease(
@@ -241,7 +241,7 @@
     let following = tokio::spawn(follower.run());
     let settings = LeaseSettings::new(stream, format!("target/{target}").into(), 1).lease(lease);
     let appender = Appender::new(log, format!("agent-{number}").into());
-    (Lease::keep(settings, appender, state), following)
+    (Lease::spawn(settings, appender, state), following)
 }
 
 /// The records that publish the fleet.
--- a/crates/state/src/checkpointer.rs
+++ b/crates/state/src/checkpointer.rs
@@ -2,7 +2,7 @@
 
 use crate::appender::Appender;
 use crate::health::Health;
-use crate::lease::Held;
+use crate::lease::HeldClaim;
 use crate::{Fold, Result, Snapshot};
 use plat::{Offset, StreamName};
 use std::sync::Arc;
@@ -48,7 +48,7 @@
     appender: Appender,
     state: watch::Receiver<Arc<F>>,
     health: watch::Receiver<Health>,
-    held: watch::Receiver<Option<Held>>,
+    held: watch::Receiver<Option<HeldClaim>>,
     last: Option<(Offset, Instant)>,
 }
 
@@ -65,7 +65,7 @@
         appender: Appender,
         state: watch::Receiver<Arc<F>>,
         health: watch::Receiver<Health>,
-        held: watch::Receiver<Option<Held>>,
+        held: watch::Receiver<Option<HeldClaim>>,
     ) -> Self {
         let settings = CheckpointerSettings::default();
         Self { settings, stream, appender, state, health, held, last: None }
--- a/crates/state/src/follower.rs
+++ b/crates/state/src/follower.rs
@@ -139,7 +139,7 @@
             health.log_end = batch.end;
             health.error = None;
             if end == batch.end {
-                health.fresh = Some(started);
+                health.complete_at = Some(started);
             }
         });
         if let Some((offset, error)) = unreadable {
--- a/crates/state/src/health.rs
+++ b/crates/state/src/health.rs
@@ -13,7 +13,7 @@
     /// The end offset of the stream as of the last read.
     pub log_end: Offset,
     /// When the last read began that showed the state to be complete; `None` if none has.
-    pub fresh: Option<Instant>,
+    pub complete_at: Option<Instant>,
     /// The error that prevents it from following the stream, if any.
     pub error: Option<FollowError>,
     /// The offset of the last checkpoint record that was applied, and when.
@@ -53,6 +53,6 @@
 
     /// Whether the state was complete at some time within the last `age`.
     pub fn is_fresh(&self, age: Duration) -> bool {
-        self.fresh.is_some_and(|fresh| fresh.elapsed() <= age)
+        self.complete_at.is_some_and(|complete_at| complete_at.elapsed() <= age)
     }
 }
--- a/crates/state/src/lease.rs
+++ b/crates/state/src/lease.rs
@@ -41,14 +41,14 @@
 
 /// A claim that this process holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct HeldClaim {
     /// Offset of the claim; the holder's records refer to it.
     pub claim: Offset,
     /// The time until which the holder may act under it.
     pub until: Instant,
 }
 
-impl Held {
+impl HeldClaim {
     /// Whether the holder may still act under the claim.
     pub fn is_valid(&self) -> bool {
         Instant::now() < self.until
@@ -57,7 +57,7 @@
 
 /// A scope that a task claims and renews; dropping it stops the task without a release.
 pub struct Lease {
-    held: watch::Receiver<Option<Held>>,
+    held: watch::Receiver<Option<HeldClaim>>,
     stop: CancellationToken,
     task: Option<JoinHandle<()>>,
 }
@@ -117,7 +117,7 @@
     /// Spawns the task that claims and renews a scope in the appender's name.
     ///
     /// `state` is the folded state of the stream.
-    pub fn keep<F: Authority>(
+    pub fn spawn<F: Authority>(
         settings: LeaseSettings,
         appender: Appender,
         state: watch::Receiver<Arc<F>>,
@@ -137,7 +137,7 @@
     }
 
     /// The claim while it is held, otherwise `None`.
-    pub fn held(&self) -> watch::Receiver<Option<Held>> {
+    pub fn held(&self) -> watch::Receiver<Option<HeldClaim>> {
         self.held.clone()
     }
 
@@ -166,7 +166,7 @@
     settings: LeaseSettings,
     appender: Appender,
     state: watch::Receiver<Arc<F>>,
-    held: watch::Sender<Option<Held>>,
+    held: watch::Sender<Option<HeldClaim>>,
     /// The last record of another holder, and when to claim if none follows it.
     last_seen: Option<LastRecord>,
 }
@@ -204,7 +204,7 @@
         let confirmed = tokio::time::timeout_at(until, self.confirm(renewal, claim)).await;
         match confirmed {
             Ok(Ok(true)) => {
-                self.held.send_replace(Some(Held { claim, until }));
+                self.held.send_replace(Some(HeldClaim { claim, until }));
             }
             Ok(Ok(false)) => return self.mark_lost(),
             Ok(Err(error)) => {
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -42,7 +42,7 @@
 pub use error::{Error, Result};
 pub use follower::{Fold, Follower};
 pub use health::{FollowError, Health};
-pub use lease::{Held, Lease, LeaseSettings};
+pub use lease::{HeldClaim, Lease, LeaseSettings};
 pub use record::Record;
 pub use registry::{Accepted, Registry};
 pub use scopes::Holder;
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -6,18 +6,18 @@
 use fake::MemoryLog;
 use plat::SYSTEM_STREAM;
 use state::record::{Body, Suspicion};
-use state::{Held, Lease, LeaseSettings, System};
+use state::{HeldClaim, Lease, LeaseSettings, System};
 use std::time::Duration;
 use tokio::time::Instant;
 
 const SCOPE: &str = "planner/sofia";
 
-fn keep(process: &Process<System>, incarnation: u64) -> Lease {
+fn spawn(process: &Process<System>, incarnation: u64) -> Lease {
     let settings = LeaseSettings::new(SYSTEM_STREAM.into(), SCOPE.into(), incarnation);
-    Lease::keep(settings, process.appender.clone(), process.state.clone())
+    Lease::spawn(settings, process.appender.clone(), process.state.clone())
 }
 
-async fn held(lease: &Lease) -> Held {
+async fn held(lease: &Lease) -> HeldClaim {
     let mut held = lease.held();
     let held = held.wait_for(Option::is_some);
     let held = tokio::time::timeout(Duration::from_secs(600), held).await;
@@ -72,13 +72,13 @@
     let log = MemoryLog::new();
     let mut a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
-    let lease_a = keep(&a, 1);
+    let lease_a = spawn(&a, 1);
     let before = held(&lease_a).await;
     a.gate.set(Open::Held);
     let order = set_role(SCOPE, before.claim, "engine-1", "decode");
     let appender = a.appender.clone();
     let late = tokio::spawn(async move { appender.append(SYSTEM_STREAM, order).await });
-    let lease_b = keep(&b, 2);
+    let lease_b = spawn(&b, 2);
     let after = held(&lease_b).await;
     assert!(!before.is_valid());
     a.gate.set(Open::All);
@@ -98,9 +98,9 @@
     log.set_delay(Duration::from_millis(300));
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
-    let lease_a = keep(&a, 1);
+    let lease_a = spawn(&a, 1);
     held(&lease_a).await;
-    let lease_b = keep(&b, 2);
+    let lease_b = spawn(&b, 2);
     tokio::time::sleep(Duration::from_secs(60)).await;
     assert_eq!(*lease_b.held().borrow(), None, "a holder that renews keeps its lease");
     a.gate.set(Open::Cut);
@@ -123,8 +123,8 @@
     let at_once = |incarnation| {
         LeaseSettings::new(SYSTEM_STREAM.into(), SCOPE.into(), incarnation).jitter(Duration::ZERO)
     };
-    let lease_a = Lease::keep(at_once(1), a.appender.clone(), a.state.clone());
-    let lease_b = Lease::keep(at_once(2), b.appender.clone(), b.state.clone());
+    let lease_a = Lease::spawn(at_once(1), a.appender.clone(), a.state.clone());
+    let lease_b = Lease::spawn(at_once(2), b.appender.clone(), b.state.clone());
     tokio::time::sleep(Duration::from_secs(30)).await;
     let holders = [&lease_a, &lease_b].map(|lease| lease.held().borrow().is_some());
     assert_eq!(holders.iter().filter(|held| **held).count(), 1);
@@ -136,9 +136,9 @@
     let log = MemoryLog::new();
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let b = Process::<System>::start(&log, "b", SYSTEM_STREAM);
-    let lease_a = keep(&a, 1);
+    let lease_a = spawn(&a, 1);
     held(&lease_a).await;
-    let lease_b = keep(&b, 2);
+    let lease_b = spawn(&b, 2);
     tokio::time::sleep(Duration::from_secs(2)).await;
     let released_at = Instant::now();
     lease_a.release().await;
@@ -152,7 +152,7 @@
 async fn holder_stops_while_the_log_is_unavailable_and_continues_after() {
     let log = MemoryLog::new();
     let a = Process::<System>::start(&log, "a", SYSTEM_STREAM);
-    let lease = keep(&a, 1);
+    let lease = spawn(&a, 1);
     let before = held(&lease).await;
     log.set_unavailable(true);
     tokio::time::sleep(Duration::from_secs(6)).await;
--- a/crates/state/tests/follower.rs
+++ b/crates/state/tests/follower.rs
@@ -53,7 +53,7 @@
     let mut a = Process::<Config>::start(&log, "a", CONFIG_STREAM);
     let planner = Process::<System>::start(&log, "a", SYSTEM_STREAM);
     let settings = LeaseSettings::new(SYSTEM_STREAM.into(), "planner/main".into(), 1);
-    let lease = Lease::keep(settings, planner.appender.clone(), planner.state.clone());
+    let lease = Lease::spawn(settings, planner.appender.clone(), planner.state.clone());
     let (state, health) = (a.state.clone(), a.health.clone());
     let due = CheckpointerSettings { age: Duration::from_secs(180), records: 1_000 };
     let stream = CONFIG_STREAM.into();
