--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -153,7 +153,10 @@
         self.direct = Some(Row::new("direct", tally, Duration::from_secs_f64(self.seconds)));
     }
 
-    /// Whether a guarantee was violated that must hold under all faults.
+    /// Whether a guarantee was violated that must hold under all faults: an answer ended normally
+    /// but was not the complete answer to its own request, a non-repeatable call ran more than once
+    /// or although its response ruled that out, or an order reached an engine while another was
+    /// being carried out.
     pub fn is_broken(&self) -> bool {
         let calls = self.calls.clone().unwrap_or_default();
         let conflicts = self.engines.unwrap_or_default().conflicts;
