--- a/crates/agent/src/shared.rs
+++ b/crates/agent/src/shared.rs
@@ -3,11 +3,11 @@
 use crate::Backend;
 use crate::answers::Answers;
 use crate::dispatcher::{self, Dispatcher};
+use crate::entry_statuses::EntryStatuses;
 use crate::health::{Health, State};
 use crate::keyed_calls::InFlightCalls;
 use crate::meter::Meter;
 use crate::metrics::Metrics;
-use crate::sightings::Sightings;
 use crate::suspects::Suspects;
 use crate::tasks::Tasks;
 use compact_str::{CompactString, format_compact};
@@ -15,7 +15,7 @@
 use conf::Spec;
 use conf::resource::{Phase, Target};
 use policy::estimate::{Cost, Rates};
-use state::{Appender, Calls, Config, Held, System};
+use state::{Appender, Calls, Config, HeldClaim, System};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -36,7 +36,7 @@
     pub(crate) meter: Meter,
     pub(crate) health: Health,
     pub(crate) answers: Answers,
-    pub(crate) sightings: Sightings,
+    pub(crate) entry_statuses: EntryStatuses,
     pub(crate) config_health: watch::Receiver<state::Health>,
     pub(crate) system: watch::Receiver<Arc<System>>,
     pub(crate) system_health: watch::Receiver<state::Health>,
@@ -44,7 +44,7 @@
     pub(crate) calls_health: watch::Receiver<state::Health>,
     pub(crate) appender: Appender,
     /// The claim on the target, while it is held.
-    pub(crate) held: watch::Sender<Option<Held>>,
+    pub(crate) held: watch::Sender<Option<HeldClaim>>,
     pub(crate) in_flight: InFlightCalls,
     pub(crate) suspects: Suspects,
     pub(crate) metrics: Metrics,
--- a/crates/entry/src/session.rs
+++ b/crates/entry/src/session.rs
@@ -102,12 +102,12 @@
 
     /// Sends a query that belongs to no attempt; returns `None` if the connection is lost before
     /// the reply.
-    pub(crate) async fn ask(&self, kind: QueryKind, body: Bytes) -> Option<Bytes> {
+    pub(crate) async fn query(&self, kind: QueryKind, body: Bytes) -> Option<Bytes> {
         let id = self.next_nonce.fetch_add(1, Ordering::Relaxed);
         let (sender, answer) = oneshot::channel();
         self.pending_replies.lock().unwrap_or_else(PoisonError::into_inner).insert(id, sender);
-        let ask = Query { id, kind: kind.into(), body };
-        self.outbox.send(Frame::new(Body::Query(ask))).await.ok()?;
+        let query = Query { id, kind: kind.into(), body };
+        self.outbox.send(Frame::new(Body::Query(query))).await.ok()?;
         answer.await.ok()
     }
 
@@ -158,8 +158,8 @@
 
     fn ping(&self, context: &PeerContext) {
         let nonce = self.next_nonce.fetch_add(1, Ordering::Relaxed);
-        let sender = Some(context.sighting());
-        let ping = Ping { nonce, sender, include_entries: context.take_sightings_due() };
+        let sender = Some(context.entry_status());
+        let ping = Ping { nonce, sender, include_entries: context.take_entry_statuses_due() };
         // A full queue means that the agent does not read; the heartbeat timeout then ends the
         // connection.
         let _ = self.outbox.try_send(Frame::new(Body::Ping(ping)));
